--- a/bench/dispatch_lab.cc
+++ b/bench/dispatch_lab.cc
@@ -169,7 +169,7 @@
              VirtualUs windows) {
   const std::vector<LoadJob> jobs = DrawJobs(scenario.load, seed);
   std::vector<double> busy;
-  const auto world = PlayLoad(scenario.load, jobs, seed, policy, &busy);
+  const auto world = SimulateLoad(scenario.load, jobs, seed, policy, &busy);
   Figures figures;
   const auto first = static_cast<ptrdiff_t>(scenario.from / kBusyStep);
   const auto last = static_cast<ptrdiff_t>(scenario.to / kBusyStep);
--- a/src/bounded_stdout.cc
+++ b/src/bounded_stdout.cc
@@ -23,7 +23,7 @@
 
 void BoundedStdout::Append(std::string_view line) {
   const size_t held = m_held.size() - m_written;
-  if (held + line.size() > kMaxHeldBytes) {
+  if (held + line.size() > kMaxBufferedBytes) {
     ++m_dropped;
     return;
   }
--- a/src/bounded_stdout.h
+++ b/src/bounded_stdout.h
@@ -5,8 +5,8 @@
 //   out.Flush();     // at the end of an event
 //
 // A reader that stands still costs lines, never time: what its pipe does not
-// take is kept up to kMaxHeldBytes, then lines are dropped, and their number is
-// written as soon as there is room again.
+// take is kept up to kMaxBufferedBytes, then lines are dropped, and their
+// number is written as soon as there is room again.
 #ifndef EGRETSWITCH_SRC_BOUNDED_STDOUT_H_
 #define EGRETSWITCH_SRC_BOUNDED_STDOUT_H_
 
@@ -20,7 +20,7 @@
 class BoundedStdout {
  public:
   // Some thousand lines: a second of the busiest entry.
-  static constexpr size_t kMaxHeldBytes = 512u << 10;
+  static constexpr size_t kMaxBufferedBytes = 512u << 10;
 
   explicit BoundedStdout(int fd);
 
--- a/src/daemon_main.cc
+++ b/src/daemon_main.cc
@@ -26,7 +26,7 @@
 #include "platform/store_client.h"
 #include "platform/wire_names.h"
 #include "platform/worker_http_calls.h"
-#include "platform/worker_news.h"
+#include "platform/worker_updates.h"
 #include "settings.h"
 #include "step_agent_daemon.h"
 #include "step_entry_daemon.h"
@@ -120,13 +120,13 @@
         loop, common, *entry,
         {codec,
          {store, platform::kConfigKey, platform::DecodeConfig,
-          platform::kEvacuationKeyPrefix, entry->config_within}});
+          platform::kEvacuationKeyPrefix, entry->config_apply_limit}});
     exit_code = RunUntilDrained(loop, daemon, started, signal_fd);
   } else {
     const auto& agent = std::get<StepAgentSettings>(settings.role);
     platform::WorkerHttpCalls worker(loop, agent.worker_address);
     StepAgentDaemon daemon(loop, common, agent,
-                           {worker, store, platform::DecodeWorkerNews});
+                           {worker, store, platform::DecodeWorkerUpdates});
     exit_code = RunUntilDrained(loop, daemon, started, signal_fd);
   }
   StopLogging();
--- a/src/deployment_tables.cc
+++ b/src/deployment_tables.cc
@@ -40,14 +40,14 @@
           TimersOf(loop),
           m_source.store,
           StoreTable::kConfig,
-          m_source.config_within,
+          m_source.config_apply_limit,
           [this](const KeyedPage& page) { OnOperatorsPage(page); },
           [this] { OnFailure(StoreTable::kConfig); }),
       m_members_follower(
           TimersOf(loop),
           m_source.store,
           StoreTable::kMembers,
-          m_source.config_within,
+          m_source.config_apply_limit,
           [this](const KeyedPage& page) { OnMembersPage(page); },
           [this] { OnFailure(StoreTable::kMembers); }) {}
 
@@ -60,13 +60,13 @@
 
 void DeploymentTables::OnFailure(StoreTable table) {
   m_counters.Add(RunCounter::kStoreFailures);
-  Deliver(StoreSeen{table, true});
+  Deliver(StoreReadResult{table, true});
 }
 
 // Evacuations first: when a configuration opens the entry to callers, it knows
 // where their work may go.
 void DeploymentTables::OnOperatorsPage(const KeyedPage& page) {
-  Deliver(StoreSeen{StoreTable::kConfig, false});
+  Deliver(StoreReadResult{StoreTable::kConfig, false});
   ReadEvacuations(page);
   ReadConfig(page);
 }
@@ -119,7 +119,7 @@
 }
 
 void DeploymentTables::OnMembersPage(const KeyedPage& page) {
-  Deliver(StoreSeen{StoreTable::kMembers, false});
+  Deliver(StoreReadResult{StoreTable::kMembers, false});
   MembersRead read{
       .members = {}, .removed = {}, .next_offset = page.next_offset};
   uint32_t unreadable = 0;
@@ -162,17 +162,18 @@
 
 // ---- Other entries
 
-void DeploymentTables::EntryUp(const std::string& name, PeerPlace place) {
-  Deliver(EntryLinked{name, place});
+void DeploymentTables::OnEntryConnected(const std::string& name,
+                                        PeerProximity proximity) {
+  Deliver(EntryConnected{name, proximity});
 }
 
-void DeploymentTables::EntryDown(const std::string& name) {
-  Deliver(EntryUnlinked{name});
+void DeploymentTables::OnEntryDisconnected(const std::string& name) {
+  Deliver(EntryDisconnected{name});
 }
 
 void DeploymentTables::OnMessage(const std::string& entry,
                                  const TableMessage& body) {
-  Deliver(EntrySaid{entry, body});
+  Deliver(TableMessageReceived{entry, body});
 }
 
 // ---- Actions
@@ -185,7 +186,7 @@
   m_wake.Arm(m_exchange.NextWake());
 }
 
-void DeploymentTables::Perform(const TellEntry& tell) {
+void DeploymentTables::Perform(const SendTableMessage& tell) {
   m_events.send(tell.name, tell.body);
 }
 
--- a/src/deployment_tables.h
+++ b/src/deployment_tables.h
@@ -34,7 +34,7 @@
   std::string evacuation_prefix;
   // A configuration is in force so long after the store has it, also when a
   // connection to the store dies unseen.
-  absl::Duration config_within = kConfigWithin;
+  absl::Duration config_apply_limit = kDefaultConfigApplyLimit;
 };
 
 // All must be set.
@@ -54,8 +54,8 @@
 
   void Start();
 
-  void EntryUp(const std::string& name, PeerPlace place);
-  void EntryDown(const std::string& name);
+  void OnEntryConnected(const std::string& name, PeerProximity proximity);
+  void OnEntryDisconnected(const std::string& name);
   void OnMessage(const std::string& entry, const TableMessage& body);
 
   const ServiceConfig& config() const { return m_exchange.config(); }
@@ -63,14 +63,14 @@
   // Whether callers can be served by what is known. Without word of evacuations
   // nobody knows where work may go.
   bool Complete() const {
-    return config().version > 0 && evacuations().Known();
+    return config().version > 0 && evacuations().IsLoaded();
   }
   // How this process came to know of what is evacuated, by data centre.
-  struct Learnt {
+  struct EvacuationSource {
     MonoTime at = absl::ZeroDuration();
     std::string from;  // "store", or the entry's name
   };
-  const std::map<std::string, Learnt>& learnt_evacuations() const {
+  const std::map<std::string, EvacuationSource>& evacuation_sources() const {
     return m_learnt_evacuations;
   }
   const MemberList& members() const { return m_exchange.members(); }
@@ -85,7 +85,9 @@
   void ConfirmConfig(std::function<void(bool confirmed)> done) {
     m_config_follower.Confirm(std::move(done));
   }
-  uint64_t NewestConfigNamed() const { return m_exchange.NewestConfigNamed(); }
+  uint64_t NewestPeerConfigVersion() const {
+    return m_exchange.NewestPeerConfigVersion();
+  }
 
   const RunCounters& counters() const { return m_counters; }
 
@@ -101,7 +103,7 @@
                       const std::string& reason);
 
   void Deliver(const TableEvent& event);
-  void Perform(const TellEntry& tell);
+  void Perform(const SendTableMessage& tell);
   void Perform(const ConfigInForce& change);
   void Perform(const EvacuationsInForce& change);
   void Perform(const MembersChanged& change);
@@ -114,7 +116,7 @@
   WakeTimer m_wake;
   StoreFollower m_config_follower;
   StoreFollower m_members_follower;
-  std::map<std::string, Learnt> m_learnt_evacuations;
+  std::map<std::string, EvacuationSource> m_learnt_evacuations;
   RunCounters m_counters;
 };
 
--- a/src/exhausted_room.h
+++ b/src/exhausted_capacity.h
@@ -4,8 +4,8 @@
 //
 //   exhausted.Add("desk", {6200, 64, 0});
 //   exhausted.Covers("desk", {6200, 128, 0})  -> true: it needs no less
-#ifndef EGRETSWITCH_SRC_EXHAUSTED_ROOM_H_
-#define EGRETSWITCH_SRC_EXHAUSTED_ROOM_H_
+#ifndef EGRETSWITCH_SRC_EXHAUSTED_CAPACITY_H_
+#define EGRETSWITCH_SRC_EXHAUSTED_CAPACITY_H_
 
 #include <algorithm>
 #include <string>
@@ -16,7 +16,7 @@
 
 namespace egretswitch::internal {
 
-class ExhaustedRoom {
+class ExhaustedCapacity {
  public:
   void Clear() { m_failed.clear(); }
 
@@ -43,4 +43,4 @@
 
 }  // namespace egretswitch::internal
 
-#endif  // EGRETSWITCH_SRC_EXHAUSTED_ROOM_H_
+#endif  // EGRETSWITCH_SRC_EXHAUSTED_CAPACITY_H_
--- a/src/http_client.cc
+++ b/src/http_client.cc
@@ -42,14 +42,15 @@
   MonoTime quiet_since = absl::ZeroDuration();  // no byte of the body since
 
   bool BoundsSilence() const {
-    return call.body_silence != absl::InfiniteDuration();
+    return call.body_idle_timeout != absl::InfiniteDuration();
   }
   // When its silence has lasted too long; infinite: libcurl bounds the call.
   MonoTime SilentAt() const {
     if (!BoundsSilence()) {
       return absl::InfiniteDuration();
     }
-    return quiet_since + (response.empty() ? call.timeout : call.body_silence);
+    return quiet_since +
+           (response.empty() ? call.timeout : call.body_idle_timeout);
   }
 };
 
@@ -134,7 +135,7 @@
   ~Impl();
 
   void Send(HttpCall call, Callback callback);
-  size_t calls_under_way() const { return m_transfers.size(); }
+  size_t calls_in_flight() const { return m_transfers.size(); }
 
  private:
   static int OnSocket(CURL*, curl_socket_t fd, int what, void* self, void*);
@@ -375,8 +376,8 @@
   m_impl->Send(std::move(call), std::move(callback));
 }
 
-size_t HttpClient::calls_under_way() const {
-  return m_impl->calls_under_way();
+size_t HttpClient::calls_in_flight() const {
+  return m_impl->calls_in_flight();
 }
 
 std::string_view HttpFailureName(HttpFailure failure) {
--- a/src/http_client.h
+++ b/src/http_client.h
@@ -35,7 +35,7 @@
   // When finite, `timeout` only counts until the answer's body begins, and this
   // is the longest pause within it: for bodies that a narrow link takes long to
   // carry.
-  absl::Duration body_silence = absl::InfiniteDuration();
+  absl::Duration body_idle_timeout = absl::InfiniteDuration();
 };
 
 // What is known of a call that has no response.
@@ -70,7 +70,7 @@
   // not destroy this client.
   void Send(HttpCall call, Callback callback);
 
-  size_t calls_under_way() const;
+  size_t calls_in_flight() const;
 
  private:
   class Impl;
--- a/src/job_dispatcher.cc
+++ b/src/job_dispatcher.cc
@@ -11,7 +11,7 @@
 #include <variant>
 
 #include "absl/strings/str_cat.h"
-#include "job_notes.h"
+#include "job_log_fields.h"
 #include "run_limits.h"
 
 namespace egretswitch::internal {
@@ -28,7 +28,7 @@
 JobDispatcherActions JobDispatcher::Handle(const JobDispatcherEvent& event,
                                            Now now) {
   m_now = now;
-  if (now.mono - m_last_handled > kPauseLimit) {
+  if (now.mono - m_last_handled > kMaxEntryPause) {
     EndAfterPause();
   }
   m_last_handled = now.mono;
@@ -43,7 +43,7 @@
   return std::exchange(m_actions, {});
 }
 
-JobDispatcherActions JobDispatcher::GiveUpAll(Now now) {
+JobDispatcherActions JobDispatcher::AbandonAllJobs(Now now) {
   m_now = now;
   while (!m_jobs.empty()) {
     OpenJob& job = *m_jobs.begin()->second;
@@ -58,7 +58,7 @@
   return m_jobs.empty() ? idle : std::min(idle, m_next_check);
 }
 
-uint64_t JobDispatcher::JobsNotBegun(std::string_view queue) const {
+uint64_t JobDispatcher::JobsNotStarted(std::string_view queue) const {
   return static_cast<uint64_t>(
       std::count_if(m_jobs.begin(), m_jobs.end(), [queue](const auto& entry) {
         const OpenJob& job = *entry.second;
@@ -113,9 +113,10 @@
   auto job =
       std::make_unique<OpenJob>(MakeOpenJob(event, ++m_arrivals, m_now.mono));
   CorrectEstimates(*job);
-  m_usual_patience.Note(event.queue.name, event.patience);
-  job->goes_last = m_policy.repeats_last &&
-                   m_usual_patience.IsRepeat(event.queue.name, event.patience);
+  m_typical_timeout.Record(event.queue.name, event.caller_timeout);
+  job->deprioritised =
+      m_policy.repeats_last &&
+      m_typical_timeout.IsRepeat(event.queue.name, event.caller_timeout);
   if (m_jobs.empty()) {
     m_next_check = m_now.mono + kCheckPeriod;
   }
@@ -126,7 +127,7 @@
 
 void JobDispatcher::CorrectEstimates(OpenJob& job) const {
   for (JobStep& step : job.job.steps) {
-    job.callers_estimates_ms.push_back(step.estimate_ms);
+    job.caller_estimates_ms.push_back(step.estimate_ms);
     if (m_policy.correct_estimates) {
       step.estimate_ms = m_run_times.Expect(job.queue.name, step.estimate_ms);
     }
@@ -159,23 +160,24 @@
 }
 
 // Takes the room when there is some.
-WorkerSeat* JobDispatcher::FindSeat(const OpenJob& job, const OpenTask& task) {
+PooledWorker* JobDispatcher::FindSeat(const OpenJob& job,
+                                      const OpenTask& task) {
   const TaskNeeds& needs = job.StepOf(task).needs;
   if (m_exhausted.Covers(job.queue.service, needs)) {
     return nullptr;
   }
-  WorkerSeat* seat =
+  PooledWorker* worker =
       m_pool.Pick(job.queue.service, needs, task.avoid, m_now.mono);
-  if (seat == nullptr && !task.avoid.empty()) {
-    seat = m_pool.Pick(job.queue.service, needs, {}, m_now.mono);
+  if (worker == nullptr && !task.avoid.empty()) {
+    worker = m_pool.Pick(job.queue.service, needs, {}, m_now.mono);
   }
-  if (seat == nullptr) {
+  if (worker == nullptr) {
     m_exhausted.Add(job.queue.service, needs);
     return nullptr;
   }
-  m_pool.Take(*seat, needs, 1);
-  m_forecast.NotePlaced(job.queue.service, needs.millicores, m_now.mono);
-  return seat;
+  m_pool.ChargeStart(*worker, needs, 1);
+  m_forecast.RecordPlacement(job.queue.service, needs.millicores, m_now.mono);
+  return worker;
 }
 
 void JobDispatcher::DispatchJob(OpenJob& job) {
@@ -186,17 +188,17 @@
         m_now.mono < task.not_before) {
       continue;
     }
-    WorkerSeat* seat = FindSeat(job, task);
-    if (seat == nullptr) {
+    PooledWorker* worker = FindSeat(job, task);
+    if (worker == nullptr) {
       continue;
     }
     task.state = OpenTask::State::kRunning;
-    task.agent = seat->agent;
-    task.agent_incarnation = seat->incarnation;
+    task.agent = worker->agent;
+    task.agent_incarnation = worker->incarnation;
     task.sent_at = m_now.mono;
     ++task.run;
     --job.waiting;
-    chosen[{task.step, seat->agent}].push_back(&task);
+    chosen[{task.step, worker->agent}].push_back(&task);
   }
   for (const auto& [place, tasks] : chosen) {
     SendStarts(job, place.first, *m_pool.Find(place.second), tasks);
@@ -205,14 +207,14 @@
 
 void JobDispatcher::SendStarts(OpenJob& job,
                                uint32_t step,
-                               WorkerSeat& seat,
+                               PooledWorker& worker,
                                const std::vector<OpenTask*>& tasks) {
   job.possibly_started += static_cast<uint32_t>(tasks.size());
   job.first_sent_at = std::min(job.first_sent_at, m_now.mono);
   StartRuns start;
-  start.sent_at_ms = seat.clock.Estimate(m_now.mono).value_or(0);
-  start.sequence = seat.last_sequence;
-  start.worker = seat.status.worker;
+  start.sent_at_ms = worker.clock.Estimate(m_now.mono).value_or(0);
+  start.sequence = worker.last_sequence;
+  start.worker = worker.status.worker;
   start.attempt = job.order;
   start.job = job.job.id;
   start.spec = job.job.spec;
@@ -224,7 +226,7 @@
         {task->index, task->run, SuspectMs(task->lost, m_worker_losses)});
   }
   m_counters.Add(RunCounter::kRunsStarted, tasks.size());
-  SendTo(seat, std::move(start));
+  SendTo(worker, std::move(start));
 }
 
 // ---- Ends
@@ -244,10 +246,10 @@
         task.state != OpenTask::State::kStopping) {
       continue;
     }
-    WorkerSeat& seat = *m_pool.Find(task.agent);
-    seat.runs -= std::min(seat.runs, 1u);
-    if (told.insert(task.agent).second && !seat.Suspect(m_now.mono)) {
-      SendTo(seat, StopRuns{.job = job.job.id, .step = 0, .runs = {}});
+    PooledWorker& worker = *m_pool.Find(task.agent);
+    worker.runs -= std::min(worker.runs, 1u);
+    if (told.insert(task.agent).second && !worker.Suspect(m_now.mono)) {
+      SendTo(worker, StopRuns{.job = job.job.id, .step = 0, .runs = {}});
     }
   }
 }
@@ -259,9 +261,10 @@
   m_counters.Add(answer.verdict == JobVerdict::kCompleted
                      ? RunCounter::kJobsCompleted
                      : RunCounter::kJobsFailed);
-  std::vector<NoteField> fields = NotesOfEnd(*job, answer, m_now.mono);
+  std::vector<NoteField> fields = JobEndLogFields(*job, answer, m_now.mono);
   if (answer.verdict == JobVerdict::kNotRun) {
-    AppendNotes(m_pool.ViewOf(job->queue.service, m_now.mono), fields);
+    AppendCapacityLogFields(m_pool.ViewOf(job->queue.service, m_now.mono),
+                            fields);
   }
   if (answer.verdict == JobVerdict::kCompleted) {
     LogRoutine("job completed", std::move(fields));
@@ -278,15 +281,15 @@
   m_actions.push_back(AnswerJob{call, std::move(answer)});
 }
 
-void JobDispatcher::SendTo(WorkerSeat& seat, RunMessageBody body) {
-  seat.last_sent = m_now.mono;
+void JobDispatcher::SendTo(PooledWorker& worker, RunMessageBody body) {
+  worker.last_sent = m_now.mono;
   m_actions.push_back(
-      SendRunMessage{seat.agent, seat.incarnation, std::move(body)});
+      SendRunMessage{worker.agent, worker.incarnation, std::move(body)});
 }
 
 absl::Duration JobDispatcher::RetryAfter(absl::Duration wait) {
   const double share = std::uniform_real_distribution<double>(0, 1)(m_random);
-  return ComeBackAfter(wait, share);
+  return SuggestedRetryDelay(wait, share);
 }
 
 void JobDispatcher::LogRoutine(std::string_view what,
--- a/src/job_dispatcher.h
+++ b/src/job_dispatcher.h
@@ -3,7 +3,7 @@
 // shell carries out the actions.
 //
 //   JobArrived{5c0e, 4 tasks}             -> SendRunMessage{agent-3, StartRuns}
-//   PeerSaid{agent-3, RunReports{done}}   -> AnswerJob{kCompleted}
+//   PeerMessageReceived{agent-3, RunReports{done}}   -> AnswerJob{kCompleted}
 //   CallerLeft                            -> SendRunMessage{agent-3, StopRuns}
 //
 // A job belongs to the entry that its caller reached, until it is answered or
@@ -24,14 +24,14 @@
 #include "absl/container/flat_hash_map.h"
 #include "clock.h"
 #include "dispatch_policy.h"
-#include "exhausted_room.h"
+#include "exhausted_capacity.h"
 #include "open_job.h"
 #include "run_counters.h"
 #include "run_events.h"
 #include "run_renewals.h"
 #include "run_time_model.h"
 #include "start_forecast.h"
-#include "usual_patience.h"
+#include "typical_timeout.h"
 #include "waiting_jobs.h"
 #include "worker_losses.h"
 #include "worker_pool.h"
@@ -46,14 +46,14 @@
   JobDispatcherActions Handle(const JobDispatcherEvent& event, Now now);
 
   // Answers every open job, for the end of the process.
-  JobDispatcherActions GiveUpAll(Now now);
+  JobDispatcherActions AbandonAllJobs(Now now);
 
   // When TimePassed is next due; infinite: nothing waits for time to pass.
   MonoTime NextWake() const;
 
   size_t open_jobs() const { return m_jobs.size(); }
   // Open jobs of the queue of which nothing has been sent to a worker.
-  uint64_t JobsNotBegun(std::string_view queue) const;
+  uint64_t JobsNotStarted(std::string_view queue) const;
   const RunCounters& counters() const { return m_counters; }
   const WorkerPool& pool() const { return m_pool; }
 
@@ -64,42 +64,42 @@
 
   void On(const JobArrived& event);
   void On(const CallerLeft& event);
-  void On(const PeerUp& event);
-  void On(const PeerDown& event);
-  void On(const PeerSaid& event);
+  void On(const PeerConnected& event);
+  void On(const PeerDisconnected& event);
+  void On(const PeerMessageReceived& event);
   void On(const EvacuationsChanged& event);
   void On(const TimePassed& event);
 
   void CorrectEstimates(OpenJob& job) const;
   void EndAfterPause();
-  void TellEvacuations(WorkerSeat& seat);
-  void AskForRunsOrderedBefore(WorkerSeat& seat);
-  void TakeReport(WorkerSeat& seat, const RunReport& report);
+  void TellEvacuations(PooledWorker& worker);
+  void AskForRunsOrderedBefore(PooledWorker& worker);
+  void TakeReport(PooledWorker& worker, const RunReport& report);
   void TaskDone(OpenJob& job,
                 OpenTask& task,
-                WorkerSeat& seat,
+                PooledWorker& worker,
                 uint32_t run_ms);
-  void TaskFailed(OpenJob& job, OpenTask& task, WorkerSeat& seat);
+  void TaskFailed(OpenJob& job, OpenTask& task, PooledWorker& worker);
   void TaskLostWorker(OpenJob& job,
                       OpenTask& task,
-                      WorkerSeat& seat,
+                      PooledWorker& worker,
                       const RunReport& report);
   void EndForLosses(OpenJob& job, const OpenTask& task, JobAnswer answer);
-  void NoteIfLost(const WorkerSeat& seat, const WorkerStatus& told);
+  void NoteIfLost(const PooledWorker& worker, const WorkerStatus& told);
   std::string LossesText(const std::vector<LostRun>& lost) const;
   void TaskNeverStarted(OpenJob& job,
                         OpenTask& task,
-                        WorkerSeat& seat,
+                        PooledWorker& worker,
                         RunEnd end);
   void Requeue(OpenJob& job, OpenTask& task, RunCounter reason);
-  void NoteBadRun(WorkerSeat& seat, const std::string& job);
+  void NoteBadRun(PooledWorker& worker, const std::string& job);
 
   void Dispatch();
   void DispatchJob(OpenJob& job);
-  WorkerSeat* FindSeat(const OpenJob& job, const OpenTask& task);
+  PooledWorker* FindSeat(const OpenJob& job, const OpenTask& task);
   void SendStarts(OpenJob& job,
                   uint32_t step,
-                  WorkerSeat& seat,
+                  PooledWorker& worker,
                   const std::vector<OpenTask*>& tasks);
   void AskForWorkersThatFit();
   void SetReachByWork();
@@ -116,7 +116,7 @@
   void StopRunsOf(OpenJob& job);
   void Finish(const std::string& id, JobAnswer answer);
   void Answer(CallId call, JobAnswer answer);
-  void SendTo(WorkerSeat& seat, RunMessageBody body);
+  void SendTo(PooledWorker& worker, RunMessageBody body);
   absl::Duration RetryAfter(absl::Duration wait = absl::ZeroDuration());
   void Log(std::string_view what, std::vector<NoteField> fields);
   void LogRoutine(std::string_view what, std::vector<NoteField> fields);
@@ -130,13 +130,13 @@
   WorkerPool m_pool;
   WorkerLosses m_worker_losses;
   RunRenewals m_renewals;
-  ExhaustedRoom m_exhausted;  // in one pass over the waiting jobs
+  ExhaustedCapacity m_exhausted;  // in one pass over the waiting jobs
   std::minstd_rand m_random;
   // In the order of ids, so that a run is decided by its seed alone.
   std::map<std::string, std::unique_ptr<OpenJob>> m_jobs;
   WaitingJobs m_waiting;
   StartForecast m_forecast;
-  UsualPatience m_usual_patience;
+  TypicalTimeout m_typical_timeout;
   RunTimeModel m_run_times;
   absl::flat_hash_map<CallId, std::string> m_job_of_call;
   uint64_t m_arrivals = 0;
--- a/src/line_budget.h
+++ b/src/log_rate_limiter.h
@@ -1,8 +1,8 @@
 // A bound on routine log lines: so many a second, with a burst of one second.
 //
 //   if (budget.Take(now)) { ... write the line ... }
-#ifndef EGRETSWITCH_SRC_LINE_BUDGET_H_
-#define EGRETSWITCH_SRC_LINE_BUDGET_H_
+#ifndef EGRETSWITCH_SRC_LOG_RATE_LIMITER_H_
+#define EGRETSWITCH_SRC_LOG_RATE_LIMITER_H_
 
 #include <algorithm>
 #include <cstdint>
@@ -11,12 +11,12 @@
 
 namespace egretswitch::internal {
 
-class LineBudget {
+class LogRateLimiter {
  public:
-  explicit LineBudget(double lines_per_second)
+  explicit LogRateLimiter(double lines_per_second)
       : m_rate(lines_per_second), m_left(lines_per_second) {}
 
-  bool Take(MonoTime now) {
+  bool TryAcquire(MonoTime now) {
     const double passed = absl::ToDoubleSeconds(now - m_last);
     m_last = now;
     m_left = std::min(m_rate, m_left + m_rate * passed);
@@ -29,7 +29,7 @@
   }
 
   // Lines that were not written.
-  uint64_t withheld() const { return m_withheld; }
+  uint64_t suppressed() const { return m_withheld; }
 
  private:
   const double m_rate;
@@ -40,4 +40,4 @@
 
 }  // namespace egretswitch::internal
 
-#endif  // EGRETSWITCH_SRC_LINE_BUDGET_H_
+#endif  // EGRETSWITCH_SRC_LOG_RATE_LIMITER_H_
--- a/src/logging.cc
+++ b/src/logging.cc
@@ -22,7 +22,7 @@
 #include "absl/strings/str_cat.h"
 #include "bounded_stdout.h"
 #include "event_loop.h"
-#include "line_budget.h"
+#include "log_rate_limiter.h"
 
 namespace egretswitch::internal {
 namespace {
@@ -106,7 +106,7 @@
   std::string process_name;
   StdoutAppender* to_stdout = nullptr;  // the appender, if it is one
   std::mutex budget_mutex;              // guards routine_lines
-  LineBudget routine_lines{kRoutineLinesPerSecond};
+  LogRateLimiter routine_lines{kRoutineLinesPerSecond};
 };
 
 std::unique_ptr<OpenLog>& CurrentLog() {
@@ -189,7 +189,7 @@
   OpenLog& log = *CurrentLog();
   if (change.routine) {
     const std::lock_guard lock(log.budget_mutex);
-    if (!log.routine_lines.Take(EventLoop::MonoNow())) {
+    if (!log.routine_lines.TryAcquire(EventLoop::MonoNow())) {
       return;
     }
   }
--- a/src/member_list.cc
+++ b/src/member_list.cc
@@ -33,7 +33,7 @@
   return true;
 }
 
-std::vector<MemberAddress> MemberList::After(uint64_t version) const {
+std::vector<MemberAddress> MemberList::NewerThan(uint64_t version) const {
   std::vector<MemberAddress> after;
   for (const auto& [name, member] : m_members) {
     if (member.version > version) {
--- a/src/member_list.h
+++ b/src/member_list.h
@@ -22,7 +22,7 @@
   bool Remove(const std::string& name, uint64_t version);
 
   // Those with a higher version, by version.
-  std::vector<MemberAddress> After(uint64_t version) const;
+  std::vector<MemberAddress> NewerThan(uint64_t version) const;
   const MemberAddress* Find(const std::string& name) const;
   size_t size() const { return m_members.size(); }
   const std::map<std::string, MemberAddress>& all() const { return m_members; }
--- a/src/open_job.h
+++ b/src/open_job.h
@@ -40,14 +40,14 @@
 
 struct OpenJob {
   StepJob job;  // its estimates are corrected by what was seen of the queue
-  std::vector<uint32_t> callers_estimates_ms;  // of each step
-  JobQueue queue;                              // as of the job's arrival
+  std::vector<uint32_t> caller_estimates_ms;  // of each step
+  JobQueue queue;                             // as of the job's arrival
   std::vector<CallId> calls;
   uint64_t order = 0;  // of arrival, in this process
   MonoTime arrived_at = absl::ZeroDuration();
-  absl::Duration patience;  // of the caller that came first
-  bool goes_last = false;   // its caller had no answer to an earlier attempt
-  MonoTime give_up_at = absl::ZeroDuration();
+  absl::Duration caller_timeout;  // of the caller that came first
+  bool deprioritised = false;  // its caller had no answer to an earlier attempt
+  MonoTime expires_at = absl::ZeroDuration();
   std::vector<OpenTask> tasks;
   uint32_t waiting = 0;
   uint32_t done = 0;
--- a/src/neighbour_fetch.cc
+++ b/src/peer_fetch.cc
@@ -4,7 +4,7 @@
 // the links of small entries with what they have just read themselves. At 55
 // entries a configuration of 140 kB would be 7.5 MB out of each, 2.4 s of a
 // link of 25 Mbit/s.
-#include "neighbour_fetch.h"
+#include "peer_fetch.h"
 
 #include <algorithm>
 #include <vector>
@@ -26,20 +26,20 @@
 
 }  // namespace
 
-void NeighbourFetch::PeerUp(const std::string& peer, PeerPlace place) {
-  m_peers[peer] = Peer{.place = place};
+void PeerFetch::AddPeer(const std::string& peer, PeerProximity proximity) {
+  m_peers[peer] = Peer{.proximity = proximity};
 }
 
-void NeighbourFetch::PeerDown(const std::string& peer) {
+void PeerFetch::RemovePeer(const std::string& peer) {
   m_peers.erase(peer);
   if (m_asked == peer) {
     m_asked.clear();
   }
 }
 
-void NeighbourFetch::PeerHolds(const std::string& peer,
-                               uint64_t version,
-                               MonoTime now) {
+void PeerFetch::RecordPeerVersion(const std::string& peer,
+                                  uint64_t version,
+                                  MonoTime now) {
   const auto it = m_peers.find(peer);
   if (it == m_peers.end()) {
     return;
@@ -50,7 +50,7 @@
   }
 }
 
-void NeighbourFetch::Have(uint64_t version) {
+void PeerFetch::RecordOwnVersion(uint64_t version) {
   m_have = std::max(m_have, version);
   if (!AnyNewer()) {
     m_behind_since = absl::InfiniteDuration();
@@ -58,11 +58,11 @@
   }
 }
 
-bool NeighbourFetch::Awaits(const std::string& peer) const {
+bool PeerFetch::IsAwaiting(const std::string& peer) const {
   return !m_asked.empty() && m_asked == peer;
 }
 
-void NeighbourFetch::NoteUseless() {
+void PeerFetch::RejectAnswer() {
   const auto it = m_peers.find(m_asked);
   if (it != m_peers.end()) {
     it->second.useless_through = it->second.holds;
@@ -70,11 +70,11 @@
   m_asked.clear();
 }
 
-bool NeighbourFetch::IsNewer(const Peer& peer, uint64_t than) {
+bool PeerFetch::IsNewer(const Peer& peer, uint64_t than) {
   return peer.holds > std::max(than, peer.useless_through);
 }
 
-bool NeighbourFetch::AnyNewer() const {
+bool PeerFetch::AnyNewer() const {
   return std::any_of(m_peers.begin(), m_peers.end(), [this](const auto& named) {
     return IsNewer(named.second, m_have);
   });
@@ -83,12 +83,12 @@
 // Any of the nearest that have something newer, so that those who lack it don't
 // all ask the same one; the one that was asked last only when there is no
 // other.
-std::optional<std::string> NeighbourFetch::Choose() {
+std::optional<std::string> PeerFetch::Choose() {
   std::vector<std::string> near;
   std::vector<std::string> elsewhere;
   for (const auto& [name, peer] : m_peers) {
     if (name != m_last_asked && IsNewer(peer, m_have)) {
-      const bool is_near = peer.place == PeerPlace::kSameDataCentre;
+      const bool is_near = peer.proximity == PeerProximity::kSameDataCentre;
       (is_near ? near : elsewhere).push_back(name);
     }
   }
@@ -100,7 +100,7 @@
   return choice[pick(m_random)];
 }
 
-MonoTime NeighbourFetch::NextDue() const {
+MonoTime PeerFetch::NextDue() const {
   if (!m_asked.empty()) {
     return m_asked_at + kPartPatience;
   }
@@ -110,7 +110,7 @@
   return m_behind_since + (m_store_failing ? kGatherNews : kStoreFirst);
 }
 
-std::optional<std::string> NeighbourFetch::TakeDue(MonoTime now) {
+std::optional<std::string> PeerFetch::TakeDue(MonoTime now) {
   if (now < NextDue()) {
     return std::nullopt;
   }
@@ -124,7 +124,7 @@
   return peer;
 }
 
-uint64_t NeighbourFetch::NewestNamed() const {
+uint64_t PeerFetch::NewestPeerVersion() const {
   uint64_t newest = 0;
   for (const auto& [name, peer] : m_peers) {
     newest = std::max(newest, peer.holds);
@@ -132,7 +132,7 @@
   return newest;
 }
 
-uint64_t NeighbourFetch::HeldBy(const std::string& peer) const {
+uint64_t PeerFetch::PeerVersion(const std::string& peer) const {
   const auto it = m_peers.find(peer);
   return it == m_peers.end() ? 0 : it->second.holds;
 }
--- a/src/neighbour_fetch.h
+++ b/src/peer_fetch.h
@@ -2,13 +2,13 @@
 // the store doesn't give it, one entry at a time, those of the own data centre
 // first.
 //
-//   NeighbourFetch fetch(seed);
-//   fetch.PeerUp("entry-2", PeerPlace::kSameDataCentre);
-//   fetch.PeerHolds("entry-2", 7, now);
+//   PeerFetch fetch(seed);
+//   fetch.AddPeer("entry-2", PeerProximity::kSameDataCentre);
+//   fetch.RecordPeerVersion("entry-2", 7, now);
 //   fetch.TakeDue(now + kStoreFirst)   -> "entry-2"
 //   fetch.Have(7);                     // the answer has come, or the store's
-#ifndef EGRETSWITCH_SRC_NEIGHBOUR_FETCH_H_
-#define EGRETSWITCH_SRC_NEIGHBOUR_FETCH_H_
+#ifndef EGRETSWITCH_SRC_PEER_FETCH_H_
+#define EGRETSWITCH_SRC_PEER_FETCH_H_
 
 #include <cstdint>
 #include <map>
@@ -20,33 +20,35 @@
 
 namespace egretswitch::internal {
 
-enum class PeerPlace : uint8_t { kSameDataCentre = 0, kElsewhere };
+enum class PeerProximity : uint8_t { kSameDataCentre = 0, kOtherDataCentre };
 
-class NeighbourFetch {
+class PeerFetch {
  public:
-  explicit NeighbourFetch(uint64_t seed) : m_random(seed) {}
+  explicit PeerFetch(uint64_t seed) : m_random(seed) {}
 
-  void PeerUp(const std::string& peer, PeerPlace place);
-  void PeerDown(const std::string& peer);
-  void PeerHolds(const std::string& peer, uint64_t version, MonoTime now);
+  void AddPeer(const std::string& peer, PeerProximity proximity);
+  void RemovePeer(const std::string& peer);
+  void RecordPeerVersion(const std::string& peer,
+                         uint64_t version,
+                         MonoTime now);
 
   // What this process has, from wherever.
-  void Have(uint64_t version);
-  uint64_t have() const { return m_have; }
+  void RecordOwnVersion(uint64_t version);
+  uint64_t own_version() const { return m_have; }
   // Since when a peer has named a version that this process lacks; infinite:
   // none has.
   MonoTime behind_since() const { return m_behind_since; }
   // The newest version that a linked peer has named.
-  uint64_t NewestNamed() const;
+  uint64_t NewestPeerVersion() const;
   void SetStoreFailing(bool failing) { m_store_failing = failing; }
 
   // Whether an answer of this peer is awaited.
-  bool Awaits(const std::string& peer) const;
+  bool IsAwaiting(const std::string& peer) const;
   // The peer that was asked has sent a part; it is given time for the next.
-  void NotePart(MonoTime now) { m_asked_at = now; }
+  void OnPartReceived(MonoTime now) { m_asked_at = now; }
   // Its answer is of no use: another one is asked, and this one not again until
   // it holds a newer version.
-  void NoteUseless();
+  void RejectAnswer();
 
   // The peer to ask now, which counts as asked; nullopt: none.
   std::optional<std::string> TakeDue(MonoTime now);
@@ -54,11 +56,11 @@
   MonoTime NextDue() const;
 
   // What the peer to be asked is said to hold.
-  uint64_t HeldBy(const std::string& peer) const;
+  uint64_t PeerVersion(const std::string& peer) const;
 
  private:
   struct Peer {
-    PeerPlace place = PeerPlace::kElsewhere;
+    PeerProximity proximity = PeerProximity::kOtherDataCentre;
     uint64_t holds = 0;
     uint64_t useless_through = 0;  // up to here it is not asked
   };
@@ -79,4 +81,4 @@
 
 }  // namespace egretswitch::internal
 
-#endif  // EGRETSWITCH_SRC_NEIGHBOUR_FETCH_H_
+#endif  // EGRETSWITCH_SRC_PEER_FETCH_H_
--- a/src/run_events.h
+++ b/src/run_events.h
@@ -1,9 +1,9 @@
-// What happens to the decisions about runs, on the agent's side (RunKeeper) and
-// on the entry's (JobDispatcher), and what they ask for: their whole interface
-// to the world.
+// What happens to the decisions about runs, on the agent's side (RunManager)
+// and on the entry's (JobDispatcher), and what they ask for: their whole
+// interface to the world.
 //
 //   EntrySaid{entry-1, StartRuns{...}}  ->  [StartCall{...}]
-//   StartAnswered{key, kNoRoom}         ->  [SendRunMessage{entry-1, ...}]
+//   StartAnswered{key, kNoCapacity}         ->  [SendRunMessage{entry-1, ...}]
 #ifndef EGRETSWITCH_SRC_RUN_EVENTS_H_
 #define EGRETSWITCH_SRC_RUN_EVENTS_H_
 
@@ -25,18 +25,18 @@
 
 // ---- Shared -----------------------------------------------------------------
 
-struct PeerUp {
+struct PeerConnected {
   std::string name;
   uint64_t incarnation = 0;
   std::string data_centre = {};
 };
 
-struct PeerDown {
+struct PeerDisconnected {
   std::string name;
   uint64_t incarnation = 0;
 };
 
-struct PeerSaid {
+struct PeerMessageReceived {
   std::string name;
   uint64_t incarnation = 0;
   RunMessageBody body;
@@ -77,26 +77,26 @@
   CallAnswer answer;
 };
 
-struct LookAnswered {
-  LookCall call;
-  MonoTime asked_at = absl::ZeroDuration();
-  LookAnswer answer;
+struct PollAnswered {
+  PollCall call;
+  MonoTime requested_at = absl::ZeroDuration();
+  PollAnswer answer;
 };
 
-using RunKeeperEvent = std::variant<PeerUp,
-                                    PeerDown,
-                                    PeerSaid,
-                                    TimePassed,
-                                    DrainBegan,
-                                    WorkerAnnounced,
-                                    WorkerWithdrew,
-                                    StartAnswered,
-                                    StopAnswered,
-                                    LookAnswered>;
+using RunManagerEvent = std::variant<PeerConnected,
+                                     PeerDisconnected,
+                                     PeerMessageReceived,
+                                     TimePassed,
+                                     DrainBegan,
+                                     WorkerAnnounced,
+                                     WorkerWithdrew,
+                                     StartAnswered,
+                                     StopAnswered,
+                                     PollAnswered>;
 
-using RunKeeperAction = std::
-    variant<SendRunMessage, StartCall, StopCall, LookCall, NoteStateChange>;
-using RunKeeperActions = std::vector<RunKeeperAction>;
+using RunManagerAction = std::
+    variant<SendRunMessage, StartCall, StopCall, PollCall, NoteStateChange>;
+using RunManagerActions = std::vector<RunManagerAction>;
 
 // ---- The entry's side
 // ---------------------------------------------------------
@@ -107,8 +107,8 @@
 struct JobArrived {
   CallId call = 0;
   StepJob job;
-  JobQueue queue;           // as of the job's arrival
-  absl::Duration patience;  // how long the caller waits in all
+  JobQueue queue;                 // as of the job's arrival
+  absl::Duration caller_timeout;  // how long the caller waits in all
   // Since its request was whole: a part of the caller's patience.
   absl::Duration waited = absl::ZeroDuration();
 };
@@ -146,21 +146,21 @@
 
 using JobDispatcherEvent = std::variant<JobArrived,
                                         CallerLeft,
-                                        PeerUp,
-                                        PeerDown,
-                                        PeerSaid,
+                                        PeerConnected,
+                                        PeerDisconnected,
+                                        PeerMessageReceived,
                                         EvacuationsChanged,
                                         TimePassed>;
 
 // The link to this process may be dead: another one is to take its place. Until
 // it is up, the old one stays as it is.
-struct DialAgain {
+struct RedialPeer {
   std::string peer;
   uint64_t incarnation = 0;
 };
 
 using JobDispatcherAction =
-    std::variant<AnswerJob, SendRunMessage, DialAgain, NoteStateChange>;
+    std::variant<AnswerJob, SendRunMessage, RedialPeer, NoteStateChange>;
 using JobDispatcherActions = std::vector<JobDispatcherAction>;
 
 }  // namespace egretswitch::internal
--- a/src/service_config.h
+++ b/src/service_config.h
@@ -18,7 +18,7 @@
 
 // How long a configuration may take to be in force everywhere, where a
 // deployment doesn't say.
-inline constexpr absl::Duration kConfigWithin = absl::Seconds(2);
+inline constexpr absl::Duration kDefaultConfigApplyLimit = absl::Seconds(2);
 
 struct JobQueue {
   std::string name;
--- a/src/settings_reader.cc
+++ b/src/settings_reader.cc
@@ -90,10 +90,10 @@
       {line, absl::StrCat("user error: ", place, ": ", subject, ToAbsl(text))});
 }
 
-void SettingsErrors::AddFound(int line,
-                              std::string_view key,
-                              std::string_view found,
-                              std::string_view allowed) {
+void SettingsErrors::AddUnexpected(int line,
+                                   std::string_view key,
+                                   std::string_view found,
+                                   std::string_view allowed) {
   Add(line, key,
       absl::StrCat("found ", ToAbsl(found), ", allowed ", ToAbsl(allowed)));
 }
@@ -186,18 +186,18 @@
 uint32_t MappingReader::Number(std::string_view key,
                                NumberRange range,
                                std::optional<uint32_t> fallback) {
-  const std::string allowed =
-      absl::StrCat("a whole number from ", range.least, " to ", range.most);
+  const std::string allowed = absl::StrCat(
+      "a whole number from ", range.minimum, " to ", range.maximum);
   const auto text = Scalar(key, !fallback, allowed);
   if (!text) {
-    return fallback.value_or(range.least);
+    return fallback.value_or(range.minimum);
   }
   const std::optional<uint32_t> number = ParseNumber(*text);
   // Tag "!" marks a quoted scalar, which is a text and no number.
   const bool quoted = FindKey(m_node, key)->second.Tag() == "!";
-  if (quoted || !number || *number < range.least || *number > range.most) {
+  if (quoted || !number || *number < range.minimum || *number > range.maximum) {
     Fault(key, quoted ? "the text " + Quoted(*text) : Quoted(*text), allowed);
-    return range.least;
+    return range.minimum;
   }
   return *number;
 }
@@ -307,7 +307,7 @@
   return secret;
 }
 
-void MappingReader::RefuseOtherKeys() {
+void MappingReader::RejectUnknownKeys() {
   if (!m_node.IsMap()) {
     return;
   }
@@ -315,8 +315,8 @@
   for (const auto& pair : m_node) {
     const std::string key = KeyText(pair.first);
     if (!m_known.contains(key)) {
-      m_errors->AddFound(LineOf(pair.first), Path(key), "an unknown key",
-                         allowed);
+      m_errors->AddUnexpected(LineOf(pair.first), Path(key), "an unknown key",
+                              allowed);
     }
   }
 }
@@ -329,8 +329,8 @@
   for (const auto& pair : m_node) {
     const std::string key = KeyText(pair.first);
     if (!seen.insert(key).second) {
-      m_errors->AddFound(LineOf(pair.first), Path(key), "the key a second time",
-                         "each key once");
+      m_errors->AddUnexpected(LineOf(pair.first), Path(key),
+                              "the key a second time", "each key once");
     }
   }
 }
@@ -338,7 +338,7 @@
 void MappingReader::Fault(std::string_view key,
                           std::string_view found,
                           std::string_view allowed) {
-  m_errors->AddFound(Line(key), Path(key), found, allowed);
+  m_errors->AddUnexpected(Line(key), Path(key), found, allowed);
 }
 
 }  // namespace egretswitch::internal
--- a/src/settings_reader.h
+++ b/src/settings_reader.h
@@ -4,7 +4,7 @@
 //   MappingReader callers(node, "callers", &errors);
 //   IpPort listen = callers.Address("listen");
 //   uint32_t most = callers.Number("max_connections", {1, 100000}, 4096);
-//   callers.RefuseOtherKeys();   // after all known keys have been read
+//   callers.RejectUnknownKeys();   // after all known keys have been read
 //
 // A reader goes on after a fault with a default value, so that one pass finds
 // all faults; the caller looks at `errors` in the end.
@@ -35,10 +35,10 @@
 
   // `line` counts from 1; 0 stands for the file as a whole.
   void Add(int line, std::string_view key, std::string_view text);
-  void AddFound(int line,
-                std::string_view key,
-                std::string_view found,
-                std::string_view allowed);
+  void AddUnexpected(int line,
+                     std::string_view key,
+                     std::string_view found,
+                     std::string_view allowed);
 
   // OK, or one "user error: " line for each fault in the order of the file.
   absl::Status Summary() const;
@@ -53,8 +53,8 @@
 };
 
 struct NumberRange {
-  uint32_t least = 0;
-  uint32_t most = 0;
+  uint32_t minimum = 0;
+  uint32_t maximum = 0;
 };
 
 class MappingReader {
@@ -97,7 +97,7 @@
   void Allow(std::string_view key) { m_known.emplace(key); }
 
   // Reports each key that was neither asked for nor allowed.
-  void RefuseOtherKeys();
+  void RejectUnknownKeys();
 
  private:
   // The scalar under `key`, or nullopt after reporting why there is none.
--- a/src/start_forecast.cc
+++ b/src/start_forecast.cc
@@ -44,9 +44,9 @@
 
 }  // namespace
 
-void StartForecast::NotePlaced(const std::string& service,
-                               uint32_t millicores,
-                               MonoTime now) {
+void StartForecast::RecordPlacement(const std::string& service,
+                                    uint32_t millicores,
+                                    MonoTime now) {
   const auto it = m_placed.find(service);
   if (it != m_placed.end()) {
     it->second.millicores = DecayedTo(it->second, now) + millicores;
@@ -79,7 +79,7 @@
          (remembered * absl::ToDoubleSeconds(kRateMemory));
 }
 
-absl::Duration StartForecast::Pass::WaitOf(const OpenJob& job) {
+absl::Duration StartForecast::Pass::PredictedWait(const OpenJob& job) {
   Ahead& ahead = m_ahead.try_emplace(job.queue.service, Ahead{0, job.Urgency()})
                      .first->second;
   ahead.millicores += WaitingMillicores(job);
@@ -100,7 +100,7 @@
   return waited + wait + kRunMargin * job.LongestEstimate() > job.Objective();
 }
 
-absl::Duration ComeBackAfter(absl::Duration wait, double share) {
+absl::Duration SuggestedRetryDelay(absl::Duration wait, double share) {
   return std::min(kComeBackMost,
                   kComeBackWaits * wait + share * kComeBackSpread);
 }
--- a/src/start_forecast.h
+++ b/src/start_forecast.h
@@ -1,10 +1,10 @@
 // When the tasks of a waiting job will have started, from what waits ahead of
 // it and how fast this entry has got room lately.
 //
-//   forecast.NotePlaced("desk", 6200, now);          // for each task started
-//   StartForecast::Pass pass = forecast.BeginPass(now);
-//   pass.WaitOf(first);    -> 20 ms, if 6200 millicores come free in that time
-//   pass.WaitOf(second);   -> 40 ms: the first is ahead of it
+//   forecast.RecordPlacement("desk", 6200, now);          // for each task
+//   started StartForecast::Pass pass = forecast.BeginPass(now);
+//   pass.PredictedWait(first);    -> 20 ms, if 6200 millicores come free in
+//   that time pass.PredictedWait(second);   -> 40 ms: the first is ahead of it
 //   forecast.EndPass(pass);
 //
 // Admission control by predicted waiting time: what would be late anyway is
@@ -27,7 +27,7 @@
    public:
     // Until the last task of the job that waits now has started; nothing when
     // too little is known. The job is ahead of those asked about later.
-    absl::Duration WaitOf(const OpenJob& job);
+    absl::Duration PredictedWait(const OpenJob& job);
     // The job asked about last waits no more.
     void Drop(const OpenJob& job);
 
@@ -46,9 +46,9 @@
   };
 
   // A task was given a place on a worker of the service.
-  void NotePlaced(const std::string& service,
-                  uint32_t millicores,
-                  MonoTime now);
+  void RecordPlacement(const std::string& service,
+                       uint32_t millicores,
+                       MonoTime now);
 
   Pass BeginPass(MonoTime now) const { return Pass(*this, now); }
   // Every waiting job was asked about.
@@ -74,7 +74,7 @@
 
 // When a caller that is refused because of such a wait had better come back.
 // `share` from 0 to 1 spreads equal ones.
-absl::Duration ComeBackAfter(absl::Duration wait, double share);
+absl::Duration SuggestedRetryDelay(absl::Duration wait, double share);
 
 }  // namespace egretswitch::internal
 
--- a/src/step_entry_calls.cc
+++ b/src/step_entry_calls.cc
@@ -53,7 +53,7 @@
 
 void StepEntryDaemon::OnCall(HttpRequest request, const Responder& responder) {
   if (!m_tables.Complete()) {
-    if (EventLoop::MonoNow() - m_started_at >= m_times.config_patience) {
+    if (EventLoop::MonoNow() - m_started_at >= m_times.first_config_timeout) {
       Refuse(responder, RunCounter::kJobsRefusedNoConfig, request.path,
              "no configuration yet");
     } else if (m_early_calls.size() < kMaxEarlyCalls) {
@@ -106,12 +106,13 @@
   m_counters.Add(RunCounter::kJobsNoQueue);
   const absl::Duration unconfirmed =
       EventLoop::MonoNow() - m_tables.config_confirmed_at();
-  LogStateChange({"no such queue",
-                  {{"host", call.host},
-                   {"path", request.path},
-                   {"config", absl::StrCat(m_tables.config().version)},
-                   {"newest_named", absl::StrCat(m_tables.NewestConfigNamed())},
-                   {"unconfirmed_ms", MillisecondsText(unconfirmed)}}});
+  LogStateChange(
+      {"no such queue",
+       {{"host", call.host},
+        {"path", request.path},
+        {"config", absl::StrCat(m_tables.config().version)},
+        {"newest_named", absl::StrCat(m_tables.NewestPeerConfigVersion())},
+        {"unconfirmed_ms", MillisecondsText(unconfirmed)}}});
   responder.Answer(JsonError(kNotFound, "no such queue"));
 }
 
@@ -165,7 +166,7 @@
                     {{"job", id}, {"waited_ms", MillisecondsText(waited)}}});
     return;
   }
-  if (waited >= call.patience) {
+  if (waited >= call.caller_timeout) {
     Refuse(responder, RunCounter::kJobsTimedOut, id,
            "its deadline passed while it waited");
     return;
@@ -181,7 +182,7 @@
   Deliver(JobArrived{.call = number,
                      .job = *std::move(job),
                      .queue = queue,
-                     .patience = call.patience,
+                     .caller_timeout = call.caller_timeout,
                      .waited = waited});
 }
 
@@ -207,7 +208,7 @@
     return;
   }
   responder.Answer(m_platform.callers.EncodeWaitingCount(
-      m_dispatcher.JobsNotBegun(queue.name)));
+      m_dispatcher.JobsNotStarted(queue.name)));
 }
 
 }  // namespace egretswitch::internal
--- a/src/step_entry_daemon.cc
+++ b/src/step_entry_daemon.cc
@@ -102,7 +102,7 @@
   m_ready = *std::move(ready);
   m_metrics = *std::move(metrics);
   m_started_at = EventLoop::MonoNow();
-  m_loop.RunAfter(m_times.config_patience, [this] { AnswerEarlyCalls(); });
+  m_loop.RunAfter(m_times.first_config_timeout, [this] { AnswerEarlyCalls(); });
   m_announcer.Start();
   m_tables.Start();
   SelectLinksAgainAndAgain();
@@ -153,9 +153,9 @@
   LinkHubEvents events;
   events.link_up = [this](const Hello& peer) { OnLinkUp(peer); };
   events.link_down = [this](const std::string& name, uint64_t incarnation) {
-    m_tables.EntryDown(name);
+    m_tables.OnEntryDisconnected(name);
     LogStateChange({"link down", {{"peer", name}}});
-    Deliver(PeerDown{name, incarnation});
+    Deliver(PeerDisconnected{name, incarnation});
     NoteReadiness();
   };
   events.refused = [](const std::string&, MonoTime) {};
@@ -172,7 +172,7 @@
       {"link up",
        {{"peer", peer.name}, {"incarnation", absl::StrCat(peer.incarnation)}}});
   if (peer.role != ProcessRole::kEntry) {
-    Deliver(PeerUp{peer.name, peer.incarnation, peer.data_centre});
+    Deliver(PeerConnected{peer.name, peer.incarnation, peer.data_centre});
     const MemberAddress* member = m_tables.members().Find(peer.name);
     if (member != nullptr && !member->worker.incarnation.empty()) {
       m_hub.SendTo(peer.name, peer.incarnation,
@@ -181,8 +181,9 @@
     return;
   }
   const bool is_near = peer.data_centre == m_common.data_centre;
-  m_tables.EntryUp(
-      peer.name, is_near ? PeerPlace::kSameDataCentre : PeerPlace::kElsewhere);
+  m_tables.OnEntryConnected(peer.name, is_near
+                                           ? PeerProximity::kSameDataCentre
+                                           : PeerProximity::kOtherDataCentre);
 }
 
 void StepEntryDaemon::OnMessage(const std::string& name,
@@ -195,7 +196,7 @@
   if (const auto* tables = std::get_if<TableMessage>(&carried->body)) {
     m_tables.OnMessage(name, *tables);
   } else {
-    Deliver(PeerSaid{name, incarnation, std::move(carried->body)});
+    Deliver(PeerMessageReceived{name, incarnation, std::move(carried->body)});
     NoteReadiness();
   }
 }
@@ -230,8 +231,8 @@
   m_hub.SendTo(send.peer, send.incarnation, RunMessage{send.body});
 }
 
-void StepEntryDaemon::Perform(const DialAgain& dial) {
-  m_hub.DialAgain(dial.peer, dial.incarnation);
+void StepEntryDaemon::Perform(const RedialPeer& dial) {
+  m_hub.RedialPeer(dial.peer, dial.incarnation);
 }
 
 void StepEntryDaemon::Perform(const NoteStateChange& change) {
@@ -264,13 +265,13 @@
   m_drain_began = EventLoop::MonoNow();
   NoteReadiness();
   m_callers->CloseAfterAnswers();
-  m_loop.RunAfter(m_times.serve, [this] {
+  m_loop.RunAfter(m_times.accept_until, [this] {
     m_refusing = true;
     m_callers->StopListening();
     StopWhenQuiet();
   });
-  m_loop.RunAfter(m_times.finish, [this] {
-    PerformAll(m_dispatcher.GiveUpAll(EventLoop::ReadClocks()));
+  m_loop.RunAfter(m_times.answer_until, [this] {
+    PerformAll(m_dispatcher.AbandonAllJobs(EventLoop::ReadClocks()));
   });
 }
 
--- a/src/step_entry_daemon.h
+++ b/src/step_entry_daemon.h
@@ -35,16 +35,16 @@
   // Calls that come before the first configuration wait so long for it after
   // the start. Reading it takes some 50 ms, and callers reach an entry that has
   // just started when no other one of their data centre is ready.
-  absl::Duration config_patience = absl::Milliseconds(400);
+  absl::Duration first_config_timeout = absl::Milliseconds(400);
 
   // The parts of a graceful shutdown, counted from its begin.
   // Callers are served as before, each connection closed after its answer: the
   // balancer takes up to two seconds to notice that this process is not ready,
   // and what is sent later than 3 s after SIGTERM must not be cut off.
-  absl::Duration serve = absl::Milliseconds(2800);
+  absl::Duration accept_until = absl::Milliseconds(2800);
   // What is in hand gets the rest of the 6 s that the platform grants, then it
   // is answered as it stands.
-  absl::Duration finish = absl::Milliseconds(5500);
+  absl::Duration answer_until = absl::Milliseconds(5500);
   // A request of which only a part has come by now is cut off.
   absl::Duration end = absl::Milliseconds(5800);
 };
@@ -118,7 +118,7 @@
   void PerformAll(const JobDispatcherActions& actions);
   void Perform(const AnswerJob& answer);
   void Perform(const SendRunMessage& send);
-  void Perform(const DialAgain& dial);
+  void Perform(const RedialPeer& dial);
   void Perform(const NoteStateChange& change);
 
   bool Ready() const;
--- a/src/step_entry_metrics.cc
+++ b/src/step_entry_metrics.cc
@@ -11,7 +11,7 @@
 
 void StepEntryDaemon::AddEvacuations(MetricsText& text) const {
   std::vector<MetricsText::LabelledSample> ages;
-  for (const auto& [data_centre, learnt] : m_tables.learnt_evacuations()) {
+  for (const auto& [data_centre, learnt] : m_tables.evacuation_sources()) {
     const absl::Duration age = EventLoop::MonoNow() - learnt.at;
     ages.push_back({{{"data_centre", data_centre}, {"from", learnt.from}},
                     absl::ToDoubleSeconds(age)});
--- a/src/store_follower.cc
+++ b/src/store_follower.cc
@@ -39,9 +39,11 @@
 
 // Half of the time is for the wait; the rest is for giving up a read that has
 // died and for making the next one.
-absl::Duration LongestWait(StoreTable table, absl::Duration config_within) {
+absl::Duration LongestWait(StoreTable table,
+                           absl::Duration config_apply_limit) {
   const int waits = table == StoreTable::kMembers ? kMembersWaits : 1;
-  return std::clamp(config_within / 2 * waits, kShortestWait, kLongestWait);
+  return std::clamp(config_apply_limit / 2 * waits, kShortestWait,
+                    kLongestWait);
 }
 
 const char* TableName(StoreTable table) {
@@ -53,13 +55,13 @@
 StoreFollower::StoreFollower(Timers timers,
                              KeyedStore& store,
                              StoreTable table,
-                             absl::Duration config_within,
+                             absl::Duration config_apply_limit,
                              PageCallback on_page,
                              std::function<void()> on_failure)
     : m_timers(std::move(timers)),
       m_store(store),
       m_table(table),
-      m_longest_wait(LongestWait(table, config_within)),
+      m_longest_wait(LongestWait(table, config_apply_limit)),
       m_on_page(std::move(on_page)),
       m_on_failure(std::move(on_failure)),
       m_pause(kPause, RandomSeed()),
--- a/src/store_follower.h
+++ b/src/store_follower.h
@@ -2,7 +2,7 @@
 // whole, then what is new, and begins anew when the history was cut off.
 //
 //   StoreFollower follower(TimersOf(loop), store, StoreTable::kConfig,
-//                          kConfigWithin,
+//                          kDefaultConfigApplyLimit,
 //                          [](const KeyedPage& page) { ... });
 //   follower.Start();
 #ifndef EGRETSWITCH_SRC_STORE_FOLLOWER_H_
@@ -24,13 +24,14 @@
  public:
   using PageCallback = std::function<void(const KeyedPage& page)>;
 
-  // `config_within` is how long a configuration may take to be known here once
-  // the store has it, also when the connection of a read dies unseen; members
-  // may take some times as long. `on_failure` is told of each failed read.
+  // `config_apply_limit` is how long a configuration may take to be known here
+  // once the store has it, also when the connection of a read dies unseen;
+  // members may take some times as long. `on_failure` is told of each failed
+  // read.
   StoreFollower(Timers timers,
                 KeyedStore& store,
                 StoreTable table,
-                absl::Duration config_within,
+                absl::Duration config_apply_limit,
                 PageCallback on_page,
                 std::function<void()> on_failure);
   ~StoreFollower();
--- a/src/table_exchange.cc
+++ b/src/table_exchange.cc
@@ -58,24 +58,24 @@
 
 // ---- Events
 
-void TableExchange::On(const EntryLinked& event) {
+void TableExchange::On(const EntryConnected& event) {
   std::erase(m_entries, event.name);
   m_entries.push_back(event.name);
-  m_config_fetch.PeerUp(event.name, event.place);
-  m_members_fetch.PeerUp(event.name, event.place);
-  if (m_evacuations.Known()) {
+  m_config_fetch.AddPeer(event.name, event.proximity);
+  m_members_fetch.AddPeer(event.name, event.proximity);
+  if (m_evacuations.IsLoaded()) {
     Tell(event.name, m_evacuations);
   }
   Tell(event.name, Held());
 }
 
-void TableExchange::On(const EntryUnlinked& event) {
+void TableExchange::On(const EntryDisconnected& event) {
   std::erase(m_entries, event.name);
-  m_config_fetch.PeerDown(event.name);
-  m_members_fetch.PeerDown(event.name);
+  m_config_fetch.RemovePeer(event.name);
+  m_members_fetch.RemovePeer(event.name);
 }
 
-void TableExchange::On(const EntrySaid& event) {
+void TableExchange::On(const TableMessageReceived& event) {
   std::visit([this, &event](const auto& body) { Answer(event.name, body); },
              event.body);
 }
@@ -85,7 +85,7 @@
 }
 
 void TableExchange::On(const EvacuationsRead& event) {
-  TakeEvacuations(AfterRead(m_evacuations, event), "store");
+  TakeEvacuations(ApplyRead(m_evacuations, event), "store");
 }
 
 void TableExchange::On(const MembersRead& event) {
@@ -95,8 +95,8 @@
   TakeMembers(event.members, event.next_offset, "store");
 }
 
-void TableExchange::On(const StoreSeen& event) {
-  NeighbourFetch& fetch =
+void TableExchange::On(const StoreReadResult& event) {
+  PeerFetch& fetch =
       event.table == StoreTable::kConfig ? m_config_fetch : m_members_fetch;
   fetch.SetStoreFailing(event.failing);
 }
@@ -105,15 +105,16 @@
 
 // ---- Other entries
 
-void TableExchange::Answer(const std::string& entry, const TablesHeld& held) {
-  m_config_fetch.PeerHolds(entry, held.config, m_now);
-  m_members_fetch.PeerHolds(entry, held.members, m_now);
+void TableExchange::Answer(const std::string& entry,
+                           const TableVersions& held) {
+  m_config_fetch.RecordPeerVersion(entry, held.config, m_now);
+  m_members_fetch.RecordPeerVersion(entry, held.members, m_now);
 }
 
 // While versions follow each other faster than a narrow link takes one, a
 // reader still gets the one that it has begun.
 void TableExchange::Answer(const std::string& entry,
-                           const ConfigWanted& wanted) {
+                           const ConfigRequest& wanted) {
   if (wanted.version == m_former_config->version && wanted.first > 0) {
     Tell(entry, PartOf(*m_former_config, wanted.first));
     return;
@@ -123,15 +124,15 @@
 }
 
 void TableExchange::Answer(const std::string& entry, const ConfigPart& part) {
-  if (!m_config_fetch.Awaits(entry)) {
+  if (!m_config_fetch.IsAwaiting(entry)) {
     return;  // asked of another one meanwhile, or known from the store
   }
   if (part.version <= m_config->version || !Append(part)) {
     m_incoming = {};
-    NoteUseless(m_config_fetch, entry, "config");
+    RejectAnswer(m_config_fetch, entry, "config");
     return;
   }
-  m_config_fetch.NotePart(m_now);
+  m_config_fetch.OnPartReceived(m_now);
   if (m_incoming.queues.size() < part.size) {
     AskForConfig(entry);
     return;
@@ -140,9 +141,9 @@
 }
 
 void TableExchange::Answer(const std::string& entry,
-                           const MembersWanted& wanted) {
-  MembersPart part{.through = m_members_fetch.have(),
-                   .members = m_members.After(wanted.through)};
+                           const MembersRequest& wanted) {
+  MembersPart part{.through = m_members_fetch.own_version(),
+                   .members = m_members.NewerThan(wanted.through)};
   if (part.members.size() > kMembersInPart) {
     part.members.resize(kMembersInPart);
     part.through = part.members.back().version;
@@ -151,17 +152,17 @@
 }
 
 void TableExchange::Answer(const std::string& entry, const MembersPart& part) {
-  if (!m_members_fetch.Awaits(entry)) {
+  if (!m_members_fetch.IsAwaiting(entry)) {
     return;
   }
-  if (part.through <= m_members_fetch.have()) {
-    NoteUseless(m_members_fetch, entry, "members");
+  if (part.through <= m_members_fetch.own_version()) {
+    RejectAnswer(m_members_fetch, entry, "members");
     return;
   }
-  m_members_fetch.NotePart(m_now);
+  m_members_fetch.OnPartReceived(m_now);
   TakeMembers(part.members, part.through, entry);
-  if (m_members_fetch.Awaits(entry)) {
-    Tell(entry, MembersWanted{m_members_fetch.have()});
+  if (m_members_fetch.IsAwaiting(entry)) {
+    Tell(entry, MembersRequest{m_members_fetch.own_version()});
   }
 }
 
@@ -173,17 +174,17 @@
   }
 }
 
-void TableExchange::NoteUseless(NeighbourFetch& fetch,
-                                const std::string& entry,
-                                std::string_view table) {
+void TableExchange::RejectAnswer(PeerFetch& fetch,
+                                 const std::string& entry,
+                                 std::string_view table) {
   m_actions.push_back(
       NoteStateChange{"neighbour's answer of no use",
                       {{"entry", entry},
                        {"table", std::string(table)},
-                       {"held", absl::StrCat(fetch.HeldBy(entry))},
-                       {"have", absl::StrCat(fetch.have())}},
+                       {"held", absl::StrCat(fetch.PeerVersion(entry))},
+                       {"have", absl::StrCat(fetch.own_version())}},
                       true});
-  fetch.NoteUseless();
+  fetch.RejectAnswer();
 }
 
 // False when the part goes on nothing that has come before.
@@ -215,7 +216,7 @@
       m_now - std::min(m_config_fetch.behind_since(), m_now);
   m_former_config = m_config;
   m_config = std::make_shared<ServiceConfig>(std::move(config));
-  m_config_fetch.Have(m_config->version);
+  m_config_fetch.RecordOwnVersion(m_config->version);
   m_next_telling = m_now;
   m_actions.push_back(ConfigInForce{former, from, behind});
 }
@@ -229,7 +230,7 @@
     return;
   }
   const bool changed = former.data_centres != state.data_centres ||
-                       former.Known() != state.Known();
+                       former.IsLoaded() != state.IsLoaded();
   for (const std::string& entry : m_entries) {
     if (changed) {
       Tell(entry, m_evacuations);
@@ -248,7 +249,7 @@
       changed.members.push_back(member);
     }
   }
-  m_members_fetch.Have(through);
+  m_members_fetch.RecordOwnVersion(through);
   if (!changed.members.empty()) {
     m_actions.push_back(std::move(changed));
   }
@@ -261,22 +262,22 @@
     AskForConfig(*entry);
   }
   if (const auto entry = m_members_fetch.TakeDue(m_now)) {
-    Tell(*entry, MembersWanted{m_members_fetch.have()});
+    Tell(*entry, MembersRequest{m_members_fetch.own_version()});
   }
 }
 
 // Another neighbour than the one that was asked first goes on from where that
 // one stopped, when it has the same version.
 void TableExchange::AskForConfig(const std::string& entry) {
-  Tell(entry, ConfigWanted{m_incoming.version, m_incoming.queues.size()});
+  Tell(entry, ConfigRequest{m_incoming.version, m_incoming.queues.size()});
 }
 
-TablesHeld TableExchange::Held() const {
-  return {m_config->version, m_members_fetch.have()};
+TableVersions TableExchange::Held() const {
+  return {m_config->version, m_members_fetch.own_version()};
 }
 
 void TableExchange::TellHeldIfDue() {
-  const TablesHeld held = Held();
+  const TableVersions held = Held();
   if (held == m_told || m_now < m_next_telling) {
     return;
   }
@@ -288,7 +289,7 @@
 }
 
 void TableExchange::Tell(const std::string& entry, TableMessage body) {
-  m_actions.push_back(TellEntry{entry, std::move(body)});
+  m_actions.push_back(SendTableMessage{entry, std::move(body)});
 }
 
 }  // namespace egretswitch::internal
--- a/src/table_exchange.h
+++ b/src/table_exchange.h
@@ -3,10 +3,12 @@
 // doesn't. No I/O; the shell follows the store, sends and receives.
 //
 //   ConfigRead{version 7}                -> ConfigInForce{7, "store"},
-//                                           TellEntry{entry-2, TablesHeld{7,
-//                                           0}}
-//   EntrySaid{entry-2, TablesHeld{9, 0}} -> 20 ms later, if the store fails:
-//                                           TellEntry{entry-2, ConfigWanted{9}}
+//                                           SendTableMessage{entry-2,
+//                                           TableVersions{7, 0}}
+//   TableMessageReceived{entry-2, TableVersions{9, 0}} -> 20 ms later, if the
+//   store fails:
+//                                           SendTableMessage{entry-2,
+//                                           ConfigRequest{9}}
 #ifndef EGRETSWITCH_SRC_TABLE_EXCHANGE_H_
 #define EGRETSWITCH_SRC_TABLE_EXCHANGE_H_
 
@@ -20,8 +22,8 @@
 #include "evacuations.h"
 #include "keyed_store.h"
 #include "member_list.h"
-#include "neighbour_fetch.h"
 #include "node_events.h"
+#include "peer_fetch.h"
 #include "service_config.h"
 #include "table_messages.h"
 
@@ -29,16 +31,16 @@
 
 // ---- Events
 
-struct EntryLinked {
+struct EntryConnected {
   std::string name;
-  PeerPlace place = PeerPlace::kElsewhere;
+  PeerProximity proximity = PeerProximity::kOtherDataCentre;
 };
 
-struct EntryUnlinked {
+struct EntryDisconnected {
   std::string name;
 };
 
-struct EntrySaid {
+struct TableMessageReceived {
   std::string name;
   TableMessage body;
 };
@@ -61,25 +63,25 @@
 };
 
 // Whether the latest read of a table failed.
-struct StoreSeen {
+struct StoreReadResult {
   StoreTable table = StoreTable::kConfig;
   bool failing = false;
 };
 
 struct TableTimePassed {};
 
-using TableEvent = std::variant<EntryLinked,
-                                EntryUnlinked,
-                                EntrySaid,
+using TableEvent = std::variant<EntryConnected,
+                                EntryDisconnected,
+                                TableMessageReceived,
                                 ConfigRead,
                                 EvacuationsRead,
                                 MembersRead,
-                                StoreSeen,
+                                StoreReadResult,
                                 TableTimePassed>;
 
 // ---- Actions
 
-struct TellEntry {
+struct SendTableMessage {
   std::string name;
   TableMessage body;
 };
@@ -106,7 +108,7 @@
   std::string from;
 };
 
-using TableAction = std::variant<TellEntry,
+using TableAction = std::variant<SendTableMessage,
                                  ConfigInForce,
                                  EvacuationsInForce,
                                  MembersChanged,
@@ -125,24 +127,26 @@
   const ServiceConfig& config() const { return *m_config; }
   const Evacuations& evacuations() const { return m_evacuations; }
   // The newest version that a linked entry has named; 0: none did.
-  uint64_t NewestConfigNamed() const { return m_config_fetch.NewestNamed(); }
+  uint64_t NewestPeerConfigVersion() const {
+    return m_config_fetch.NewestPeerVersion();
+  }
   // This process is among them, once its own record has been read.
   const MemberList& members() const { return m_members; }
 
  private:
-  void On(const EntryLinked& event);
-  void On(const EntryUnlinked& event);
-  void On(const EntrySaid& event);
+  void On(const EntryConnected& event);
+  void On(const EntryDisconnected& event);
+  void On(const TableMessageReceived& event);
   void On(const ConfigRead& event);
   void On(const EvacuationsRead& event);
   void On(const MembersRead& event);
-  void On(const StoreSeen& event);
+  void On(const StoreReadResult& event);
   void On(const TableTimePassed& event);
 
-  void Answer(const std::string& entry, const TablesHeld& held);
-  void Answer(const std::string& entry, const ConfigWanted& wanted);
+  void Answer(const std::string& entry, const TableVersions& held);
+  void Answer(const std::string& entry, const ConfigRequest& wanted);
   void Answer(const std::string& entry, const ConfigPart& part);
-  void Answer(const std::string& entry, const MembersWanted& wanted);
+  void Answer(const std::string& entry, const MembersRequest& wanted);
   void Answer(const std::string& entry, const MembersPart& part);
   void Answer(const std::string& entry, const Evacuations& told);
 
@@ -154,11 +158,11 @@
                    const std::string& from);
   void AskIfDue();
   void AskForConfig(const std::string& entry);
-  TablesHeld Held() const;
+  TableVersions Held() const;
   void TellHeldIfDue();
-  void NoteUseless(NeighbourFetch& fetch,
-                   const std::string& entry,
-                   std::string_view table);
+  void RejectAnswer(PeerFetch& fetch,
+                    const std::string& entry,
+                    std::string_view table);
   void Tell(const std::string& entry, TableMessage body);
 
   TableActions m_actions;
@@ -169,10 +173,10 @@
   ServiceConfig m_incoming;  // what has come of a neighbour's
   Evacuations m_evacuations;
   MemberList m_members;
-  NeighbourFetch m_config_fetch;
-  NeighbourFetch m_members_fetch;
+  PeerFetch m_config_fetch;
+  PeerFetch m_members_fetch;
   std::vector<std::string> m_entries;  // linked
-  TablesHeld m_told;                   // to all of them
+  TableVersions m_told;                // to all of them
   MonoTime m_next_telling = absl::ZeroDuration();
 };
 
--- a/src/table_messages.h
+++ b/src/table_messages.h
@@ -1,8 +1,8 @@
 // What entries tell each other of the two tables that they follow in the store,
 // that of the operators and that of the members, as plain data.
 //
-//   entry-1  TablesHeld{config 7, members 41}  ->  every linked entry
-//   entry-2  ConfigWanted{7, 0}                ->  entry-1
+//   entry-1  TableVersions{config 7, members 41}  ->  every linked entry
+//   entry-2  ConfigRequest{7, 0}                ->  entry-1
 //   entry-1  ConfigPart{7, queues 0..63}       ->  entry-2
 //
 // A version costs each pair of entries some twenty bytes; its content is sent
@@ -41,15 +41,15 @@
 
 // What the sender has: the version of its configuration, and the version of the
 // newest record up to which it knows all members. 0: nothing.
-struct TablesHeld {
+struct TableVersions {
   uint64_t config = 0;
   uint64_t members = 0;
-  bool operator==(const TablesHeld&) const = default;
+  bool operator==(const TableVersions&) const = default;
   MSGPACK_DEFINE(config, members)
 };
 
 // Asks for queues from number `first` on of this version.
-struct ConfigWanted {
+struct ConfigRequest {
   uint64_t version = 0;
   uint64_t first = 0;
   MSGPACK_DEFINE(version, first)
@@ -66,7 +66,7 @@
 };
 
 // Asks for members with a higher version.
-struct MembersWanted {
+struct MembersRequest {
   uint64_t through = 0;
   MSGPACK_DEFINE(through)
 };
@@ -78,10 +78,10 @@
   MSGPACK_DEFINE(through, members)
 };
 
-using TableMessage = std::variant<TablesHeld,
-                                  ConfigWanted,
+using TableMessage = std::variant<TableVersions,
+                                  ConfigRequest,
                                   ConfigPart,
-                                  MembersWanted,
+                                  MembersRequest,
                                   MembersPart,
                                   Evacuations>;
 
--- a/src/usual_patience.cc
+++ b/src/typical_timeout.cc
@@ -1,7 +1,7 @@
 // The caller's deadline counts from its first attempt, so a repeat has less of
 // it left. After a loss of power up to half of what arrives are repeats, so the
 // upper quartile of what was seen is still that of first attempts.
-#include "usual_patience.h"
+#include "typical_timeout.h"
 
 #include <algorithm>
 #include <vector>
@@ -28,22 +28,23 @@
 
 }  // namespace
 
-void UsualPatience::Note(const std::string& queue, absl::Duration patience) {
-  if (patience == absl::InfiniteDuration()) {
+void TypicalTimeout::Record(const std::string& queue,
+                            absl::Duration caller_timeout) {
+  if (caller_timeout == absl::InfiniteDuration()) {
     return;
   }
   std::deque<absl::Duration>& seen = m_seen[queue];
-  seen.push_back(patience);
+  seen.push_back(caller_timeout);
   if (seen.size() > kRemembered) {
     seen.pop_front();
   }
 }
 
-bool UsualPatience::IsRepeat(const std::string& queue,
-                             absl::Duration patience) const {
+bool TypicalTimeout::IsRepeat(const std::string& queue,
+                              absl::Duration caller_timeout) const {
   const auto it = m_seen.find(queue);
   return it != m_seen.end() && it->second.size() >= kLeastKnown &&
-         patience < kRepeatShare * UpperQuartile(it->second);
+         caller_timeout < kRepeatShare * UpperQuartile(it->second);
 }
 
 }  // namespace egretswitch::internal
--- a/src/usual_patience.h
+++ b/src/typical_timeout.h
@@ -4,8 +4,8 @@
 //
 //   usual.Note("checks", absl::Milliseconds(1900));   // and some dozen others
 //   usual.IsRepeat("checks", absl::Milliseconds(600))  -> true
-#ifndef EGRETSWITCH_SRC_USUAL_PATIENCE_H_
-#define EGRETSWITCH_SRC_USUAL_PATIENCE_H_
+#ifndef EGRETSWITCH_SRC_TYPICAL_TIMEOUT_H_
+#define EGRETSWITCH_SRC_TYPICAL_TIMEOUT_H_
 
 #include <deque>
 #include <string>
@@ -15,14 +15,14 @@
 
 namespace egretswitch::internal {
 
-class UsualPatience {
+class TypicalTimeout {
  public:
   // `patience` is what is left of the caller's wait as it hands a job in;
   // infinite: it did not say.
-  void Note(const std::string& queue, absl::Duration patience);
+  void Record(const std::string& queue, absl::Duration caller_timeout);
 
   // False while too little is known.
-  bool IsRepeat(const std::string& queue, absl::Duration patience) const;
+  bool IsRepeat(const std::string& queue, absl::Duration caller_timeout) const;
 
  private:
   // The latest ones, the newest last.
@@ -31,4 +31,4 @@
 
 }  // namespace egretswitch::internal
 
-#endif  // EGRETSWITCH_SRC_USUAL_PATIENCE_H_
+#endif  // EGRETSWITCH_SRC_TYPICAL_TIMEOUT_H_
--- a/src/worker_client.cc
+++ b/src/worker_client.cc
@@ -347,7 +347,7 @@
   if (result.failure != HttpFailure::kNone || result.status != kConflict) {
     return false;
   }
-  const std::optional<std::string> holder = ParsePresentHolder(result.body);
+  const std::optional<std::string> holder = ParseCurrentHolder(result.body);
   if (!holder.has_value() || *holder == m_options.holder) {
     return false;
   }
--- a/src/worker_protocol.cc
+++ b/src/worker_protocol.cc
@@ -125,7 +125,7 @@
   }
 }
 
-std::optional<std::string> ParsePresentHolder(const std::string& body) {
+std::optional<std::string> ParseCurrentHolder(const std::string& body) {
   const Json json = Json::parse(body, nullptr, false);
   if (!json.is_object() || !json.contains("holder") ||
       !json["holder"].is_string()) {
--- a/src/worker_protocol.h
+++ b/src/worker_protocol.h
@@ -59,7 +59,7 @@
 absl::StatusOr<EndsPage> ParseEnds(const std::string& body);
 
 // The holder that a 409 reply names; nothing when it names none.
-std::optional<std::string> ParsePresentHolder(const std::string& body);
+std::optional<std::string> ParseCurrentHolder(const std::string& body);
 
 }  // namespace egretswitch::internal
 
--- a/test/evacuation_test.cc
+++ b/test/evacuation_test.cc
@@ -105,7 +105,7 @@
   BOOST_TEST(second == 0);
 }
 
-BOOST_AUTO_TEST_CASE(evacuated_and_taken_back_several_times_ends_as_said_last) {
+BOOST_AUTO_TEST_CASE(repeated_evacuation_ends_in_the_last_state) {
   EvacuateAt(Ms(2000), {1});
   EvacuateAt(Ms(2100), {});
   EvacuateAt(Ms(2200), {1});
@@ -118,8 +118,8 @@
 }
 
 // It keeps sending starts there, and the agents turn them away.
-BOOST_AUTO_TEST_CASE(entry_that_has_not_heard_of_it_starts_nothing_there) {
-  world.At(Ms(1900), [this] { world.TurnAwayFromStore(0); });
+BOOST_AUTO_TEST_CASE(entry_without_the_update_starts_nothing_there) {
+  world.At(Ms(1900), [this] { world.BlockStoreUpdates(0); });
   EvacuateAt(kEvacuated, {1});
   int starts = 0;
   CountStarts(1, kEvacuated + Ms(300), Ms(8000), starts);
@@ -128,7 +128,7 @@
   BOOST_TEST(CompletedBetween(kEvacuated, Ms(8000)) > 1150);
 }
 
-BOOST_AUTO_TEST_CASE(processes_that_lost_power_meanwhile_start_nothing_there) {
+BOOST_AUTO_TEST_CASE(processes_restarted_after_power_loss_start_nothing_there) {
   EvacuateAt(kEvacuated, {1});
   world.At(Ms(3000), [this] { world.LoseAllPower(Ms(500)); });
   int starts = 0;
@@ -138,7 +138,7 @@
   BOOST_TEST(CompletedBetween(Ms(5500), Ms(8000)) > 450);
 }
 
-BOOST_AUTO_TEST_CASE(all_evacuated_refuses_at_once_with_a_time_to_come_back) {
+BOOST_AUTO_TEST_CASE(all_evacuated_refuses_at_once_with_a_retry_time) {
   EvacuateAt(kEvacuated, {0, 1, 2});
   world.Run(Ms(10'000));
   for (size_t i = 0; i < plans.size(); ++i) {
--- a/test/http_client_test.cc
+++ b/test/http_client_test.cc
@@ -178,12 +178,12 @@
 struct HttpClientFixture {
   HttpCallResult Get(const std::string& url,
                      absl::Duration timeout,
-                     absl::Duration body_silence) {
+                     absl::Duration body_idle_timeout) {
     std::optional<HttpCallResult> result;
     HttpCall call;
     call.url = url;
     call.timeout = timeout;
-    call.body_silence = body_silence;
+    call.body_idle_timeout = body_idle_timeout;
     http.Send(std::move(call),
               [&result](HttpCallResult got) { result = std::move(got); });
     BOOST_REQUIRE(
@@ -211,24 +211,24 @@
 
 BOOST_FIXTURE_TEST_SUITE(http_client, HttpClientFixture)
 
-BOOST_AUTO_TEST_CASE(call_host_that_takes_no_connection_ends_as_not_sent) {
+BOOST_AUTO_TEST_CASE(call_to_host_with_full_backlog_ends_as_not_sent) {
   const DeafServer server;
   const HttpCallResult result = Call(server.Url(), HttpMethod::kPost);
   BOOST_TEST((result.failure == HttpFailure::kNotSent));
 }
 
-BOOST_AUTO_TEST_CASE(calls_host_that_takes_no_connection_leave_the_loop_whole) {
+BOOST_AUTO_TEST_CASE(calls_to_host_with_full_backlog_leave_the_loop_usable) {
   const DeafServer server;
   for (int i = 0; i < 5; ++i) {
     const HttpCallResult result = Call(server.Url(), HttpMethod::kGet);
     BOOST_TEST((result.failure != HttpFailure::kNone));
   }
-  BOOST_TEST(http.calls_under_way() == 0u);
+  BOOST_TEST(http.calls_in_flight() == 0u);
 }
 
 // Guards against a caller whose leaving the server never hears of: another
 // process holds a copy of the connection.
-BOOST_AUTO_TEST_CASE(call_given_up_after_a_process_was_started_ends_at_server) {
+BOOST_AUTO_TEST_CASE(timed_out_call_closes_its_connection_despite_a_child) {
   SilentServer server(loop);
   soak::ChildProcess child({"/bin/sleep", "60"}, "/dev/null");
   std::optional<HttpCallResult> result;
@@ -249,29 +249,29 @@
 }
 
 // The whole body takes 140 ms at least, which is beyond a bound on the whole.
-BOOST_AUTO_TEST_CASE(body_that_takes_long_and_goes_on_is_read_whole) {
+BOOST_AUTO_TEST_CASE(slow_body_with_progress_is_read_whole) {
   DribblingServer server(loop, DribblingServer::kPieces);
   const HttpCallResult result = Get(server.Url(), kGiveUpAfter, kGiveUpAfter);
   BOOST_TEST((result.failure == HttpFailure::kNone));
   BOOST_TEST(result.body.size() == DribblingServer::kPieces);
 }
 
-BOOST_AUTO_TEST_CASE(body_beyond_a_bound_on_the_whole_ends_as_timeout) {
+BOOST_AUTO_TEST_CASE(body_beyond_the_total_timeout_ends_as_timeout) {
   DribblingServer server(loop, DribblingServer::kPieces);
   const HttpCallResult result =
       Get(server.Url(), absl::Milliseconds(60), absl::InfiniteDuration());
   BOOST_TEST((result.failure == HttpFailure::kTimeout));
 }
 
-BOOST_AUTO_TEST_CASE(body_that_stops_midway_ends_as_timeout) {
+BOOST_AUTO_TEST_CASE(stalled_body_ends_as_timeout) {
   DribblingServer server(loop, DribblingServer::kPieces / 2);
   const HttpCallResult result =
       Get(server.Url(), kGiveUpAfter / 2, absl::Milliseconds(60));
   BOOST_TEST((result.failure == HttpFailure::kTimeout));
-  BOOST_TEST(http.calls_under_way() == 0);
+  BOOST_TEST(http.calls_in_flight() == 0);
 }
 
-BOOST_AUTO_TEST_CASE(answer_that_never_begins_ends_as_timeout) {
+BOOST_AUTO_TEST_CASE(body_that_never_begins_ends_as_timeout) {
   DribblingServer server(loop, 0);
   const HttpCallResult result =
       Get(server.Url(), absl::Milliseconds(60), kGiveUpAfter);
--- a/test/job_dispatcher_fixture.h
+++ b/test/job_dispatcher_fixture.h
@@ -47,11 +47,12 @@
   JobDispatcherActions Report(const std::string& agent,
                               std::vector<RunReport> reports,
                               WorkerStatus status) {
-    return Do(PeerSaid{agent, 1, RunReports{clock.ms(), status, reports}});
+    return Do(
+        PeerMessageReceived{agent, 1, RunReports{clock.ms(), status, reports}});
   }
 
   JobDispatcherActions AddAgent(const std::string& agent) {
-    Do(PeerUp{agent, 1});
+    Do(PeerConnected{agent, 1});
     return Report(agent, {}, Status());
   }
 
@@ -70,7 +71,7 @@
     arrival.queue.max_attempts = 2;
     arrival.queue.stretch = 1.6;
     arrival.queue.objective_ms = 60;
-    arrival.patience = absl::Seconds(3);
+    arrival.caller_timeout = absl::Seconds(3);
     return arrival;
   }
 
--- a/test/job_dispatcher_test.cc
+++ b/test/job_dispatcher_test.cc
@@ -16,7 +16,7 @@
 
 BOOST_FIXTURE_TEST_SUITE(job_dispatcher, JobDispatcherFixture)
 
-BOOST_AUTO_TEST_CASE(job_with_room_goes_to_an_agent_in_one_message) {
+BOOST_AUTO_TEST_CASE(job_is_sent_to_an_agent_with_capacity_in_one_message) {
   AddAgent("agent-1");
   const auto starts = SentTo<StartRuns>("agent-1", Arrive(1, 4));
   BOOST_REQUIRE(starts.size() == 1u);
@@ -25,13 +25,14 @@
   BOOST_TEST(starts[0].sent_at_ms <= clock.ms());
 }
 
-BOOST_AUTO_TEST_CASE(evacuation_is_told_to_each_linked_agent) {
+BOOST_AUTO_TEST_CASE(changed_evacuation_is_sent_to_each_linked_agent) {
   AddAgent("agent-1");
   const auto actions = Do(EvacuationsChanged{{7, {"south"}}});
   BOOST_TEST(SentTo<Evacuations>("agent-1", actions).size() == 1u);
 }
 
-BOOST_AUTO_TEST_CASE(state_that_only_reaches_further_is_told_to_nobody) {
+BOOST_AUTO_TEST_CASE(
+    evacuation_state_that_differs_only_in_its_offset_is_not_sent) {
   AddAgent("agent-1");
   Do(EvacuationsChanged{{7, {"south"}}});
   const auto actions = Do(EvacuationsChanged{{8, {"south"}}});
@@ -39,7 +40,8 @@
 }
 
 // Another entry, which lacks the taking back, has told the agent meanwhile.
-BOOST_AUTO_TEST_CASE(agent_that_reports_an_old_state_is_told_once) {
+BOOST_AUTO_TEST_CASE(
+    agent_that_reports_an_old_evacuation_state_is_updated_once) {
   AddAgent("agent-1");
   Do(EvacuationsChanged{{8, {}}});
   WorkerStatus status = Status();
@@ -52,8 +54,8 @@
   BOOST_TEST(SentTo<Evacuations>("agent-1", second).empty());
 }
 
-BOOST_AUTO_TEST_CASE(step_without_room_does_not_hold_up_the_next_one) {
-  Do(PeerUp{"agent-1", 1});
+BOOST_AUTO_TEST_CASE(step_without_capacity_does_not_block_the_next_step) {
+  Do(PeerConnected{"agent-1", 1});
   Report("agent-1", {}, Status(kSixCores));
   const JobArrived arrival =
       Arrival(1, "5c0e", {{1, kWholeWorker, 100}, {1, kSixCores, 100}});
@@ -62,8 +64,8 @@
   BOOST_TEST(starts[0].step == 1u);
 }
 
-BOOST_AUTO_TEST_CASE(job_behind_a_larger_one_without_room_is_started) {
-  Do(PeerUp{"agent-1", 1});
+BOOST_AUTO_TEST_CASE(job_behind_a_larger_one_without_capacity_is_started) {
+  Do(PeerConnected{"agent-1", 1});
   Report("agent-1", {}, Status(kSixCores));
   const JobArrived large = Arrival(1, "1a2b", {{1, kWholeWorker, 100}});
   BOOST_TEST(SentTo<StartRuns>("agent-1", Do(large)).empty());
@@ -71,13 +73,12 @@
 }
 
 // What waiting costs must not grow with the deployment, nor beyond what waits.
-BOOST_AUTO_TEST_CASE(
-    job_that_waits_asks_some_agents_at_a_time_and_each_in_turn) {
+BOOST_AUTO_TEST_CASE(waiting_job_asks_a_few_agents_at_a_time_and_each_in_turn) {
   constexpr int kAgents = 100;
-  constexpr size_t kOthers = RunRenewals::kOthersAsked;
+  constexpr size_t kOthers = RunRenewals::kMaxOutsideRequests;
   for (int i = 0; i < kAgents; ++i) {
     const std::string agent = "agent-" + std::to_string(i);
-    Do(PeerUp{agent, 1});
+    Do(PeerConnected{agent, 1});
     Report(agent, {}, Status({}));
   }
   std::set<std::string> asked;
@@ -101,7 +102,7 @@
     first = i == 0 ? now_asked : first;
   }
   BOOST_TEST(first <= 2u, "one task waits");
-  BOOST_TEST(most <= RunRenewals::kMostAsked + kOthers);
+  BOOST_TEST(most <= RunRenewals::kMaxSubsetRequests + kOthers);
   BOOST_TEST(asked.size() == static_cast<size_t>(kAgents));
 }
 
@@ -129,7 +130,7 @@
   BOOST_TEST(answers[1].call == 2u);
 }
 
-BOOST_AUTO_TEST_CASE(caller_gone_has_its_runs_stopped) {
+BOOST_AUTO_TEST_CASE(runs_of_a_disconnected_caller_are_stopped) {
   AddAgent("agent-1");
   Arrive(1, 1);
   const auto stops = SentTo<StopRuns>("agent-1", Do(CallerLeft{1}));
@@ -138,7 +139,7 @@
   BOOST_TEST(dispatcher.open_jobs() == 0u);
 }
 
-BOOST_AUTO_TEST_CASE(caller_gone_beside_another_leaves_the_job_running) {
+BOOST_AUTO_TEST_CASE(job_keeps_running_while_another_caller_waits) {
   AddAgent("agent-1");
   Arrive(1, 1);
   Arrive(2, 1);
@@ -146,12 +147,13 @@
   BOOST_TEST(dispatcher.open_jobs() == 1u);
 }
 
-BOOST_AUTO_TEST_CASE(task_refused_for_room_waits_and_goes_elsewhere) {
+BOOST_AUTO_TEST_CASE(
+    task_refused_for_lack_of_capacity_is_sent_to_another_agent) {
   AddAgent("agent-1");
   Arrive(1, 1);
   AddAgent("agent-2");
   const auto actions =
-      Report("agent-1", {End(0, RunEnd::kNoRoom)}, Status({0, 0, 0}));
+      Report("agent-1", {End(0, RunEnd::kNoCapacity)}, Status({0, 0, 0}));
   const auto starts = SentTo<StartRuns>("agent-2", actions);
   BOOST_REQUIRE(starts.size() == 1u);
   BOOST_TEST(starts[0].runs[0].run == 2u);
@@ -168,7 +170,7 @@
 
 // An order of the first attempt may be refused, long delayed, while the second
 // attempt has a run of the same number under way.
-BOOST_AUTO_TEST_CASE(report_of_a_former_attempt_says_nothing_of_this_one) {
+BOOST_AUTO_TEST_CASE(report_of_an_earlier_attempt_is_ignored) {
   AddAgent("agent-1");
   Arrive(1, 1);
   Do(CallerLeft{1});
@@ -181,7 +183,7 @@
   BOOST_TEST(answers.size() == 1u);
 }
 
-BOOST_AUTO_TEST_CASE(task_failed_as_often_as_allowed_fails_its_job) {
+BOOST_AUTO_TEST_CASE(task_that_failed_max_attempts_times_fails_its_job) {
   AddAgent("agent-1");
   Arrive(1, 2);
   const auto again = Report("agent-1", {End(0, RunEnd::kFailed)}, Status());
@@ -194,7 +196,7 @@
   BOOST_TEST(SentTo<StopRuns>("agent-1", actions).size() == 1u);
 }
 
-BOOST_AUTO_TEST_CASE(job_never_started_is_refused_as_not_run_with_a_time) {
+BOOST_AUTO_TEST_CASE(job_never_started_is_answered_not_run_with_a_retry_delay) {
   Arrive(1, 1);
   const auto answers = Answers(Pass(absl::Seconds(3)));
   BOOST_REQUIRE(answers.size() == 1u);
@@ -205,13 +207,13 @@
 BOOST_AUTO_TEST_CASE(job_refused_by_every_agent_is_refused_as_not_run) {
   AddAgent("agent-1");
   Arrive(1, 1);
-  Report("agent-1", {End(0, RunEnd::kNoRoom)}, Status({0, 0, 0}));
+  Report("agent-1", {End(0, RunEnd::kNoCapacity)}, Status({0, 0, 0}));
   const auto answers = Answers(Pass(absl::Seconds(3)));
   BOOST_REQUIRE(answers.size() == 1u);
   BOOST_TEST((answers[0].verdict == JobVerdict::kNotRun));
 }
 
-BOOST_AUTO_TEST_CASE(job_started_and_overdue_is_never_called_not_run) {
+BOOST_AUTO_TEST_CASE(job_started_and_overdue_is_answered_may_have_run) {
   AddAgent("agent-1");
   Arrive(1, 1);
   std::vector<JobAnswer> answers;
@@ -241,7 +243,8 @@
 
 // A run on a silent agent is run elsewhere only when the agent, or its worker's
 // lease, has certainly ended it.
-BOOST_AUTO_TEST_CASE(task_on_a_silent_agent_runs_elsewhere_after_its_bound) {
+BOOST_AUTO_TEST_CASE(
+    task_on_an_unresponsive_agent_is_restarted_after_its_bound) {
   AddAgent("agent-1");
   Arrive(1, 1);
   AddAgent("agent-2");
@@ -264,34 +267,35 @@
 // A link whose bytes vanish was given up only after TCP's probes, seconds
 // later.
 BOOST_AUTO_TEST_CASE(
-    agent_silent_under_runs_is_dialled_before_they_are_stopped) {
+    unresponsive_agent_is_redialled_before_its_runs_are_stopped) {
   AddAgent("agent-1");
   Arrive(1, 1);
-  const absl::Duration left = kEntrySilence - kRenewPeriod;
-  const auto dials = ActionsOf<DialAgain>(Pass(left - absl::Milliseconds(80)));
+  const absl::Duration left = kRunLease - kRenewPeriod;
+  const auto dials = ActionsOf<RedialPeer>(Pass(left - absl::Milliseconds(80)));
   BOOST_REQUIRE(dials.size() == 1u);
   BOOST_TEST(dials[0].peer == "agent-1");
   BOOST_TEST(dials[0].incarnation == 1u);
 }
 
 // Connections to a frozen process would pile up.
-BOOST_AUTO_TEST_CASE(agent_that_stays_silent_is_dialled_with_pauses) {
+BOOST_AUTO_TEST_CASE(redials_of_an_unresponsive_agent_are_spaced_out) {
   AddAgent("agent-1");
   Arrive(1, 1);
-  BOOST_TEST(ActionsOf<DialAgain>(Pass(absl::Milliseconds(2200))).size() == 2u);
+  BOOST_TEST(ActionsOf<RedialPeer>(Pass(absl::Milliseconds(2200))).size() ==
+             2u);
 }
 
 // Many links that die together would be dialled at one moment.
-BOOST_AUTO_TEST_CASE(agents_silent_together_are_dialled_one_after_the_other) {
+BOOST_AUTO_TEST_CASE(agents_unresponsive_together_are_redialled_one_by_one) {
   for (int i = 0; i < 30; ++i) {
     AddAgent("agent-" + std::to_string(i));
   }
   Arrive(1, 300);
-  Pass(kLinkDoubt);
+  Pass(kLinkRedialAfter);
   size_t dialled = 0;
   for (int i = 0; i < 10; ++i) {
     const size_t now =
-        ActionsOf<DialAgain>(Pass(absl::Milliseconds(20))).size();
+        ActionsOf<RedialPeer>(Pass(absl::Milliseconds(20))).size();
     BOOST_TEST(now <= 1u);
     dialled += now;
   }
@@ -299,12 +303,13 @@
 }
 
 // A run whose order or end was lost with a link would wait for ever.
-BOOST_AUTO_TEST_CASE(agent_on_a_new_link_is_asked_for_the_runs_ordered_before) {
+BOOST_AUTO_TEST_CASE(agent_on_a_new_link_is_asked_for_the_runs_started_before) {
   AddAgent("agent-1");
   Arrive(1, 2);
   Report("agent-1", {End(0, RunEnd::kDone)}, Status());
-  Do(PeerDown{"agent-1", 1});
-  const auto asked = SentTo<RenewRuns>("agent-1", Do(PeerUp{"agent-1", 1}));
+  Do(PeerDisconnected{"agent-1", 1});
+  const auto asked =
+      SentTo<RenewRuns>("agent-1", Do(PeerConnected{"agent-1", 1}));
   BOOST_REQUIRE(asked.size() == 1u);
   BOOST_REQUIRE(asked[0].ordered_before.size() == 1u);
   BOOST_TEST(asked[0].ordered_before[0].task.index == 1u);
@@ -315,27 +320,27 @@
 }
 
 // Room taken by orders that were lost with a link would never be free again.
-BOOST_AUTO_TEST_CASE(room_of_orders_lost_with_a_link_is_free_again) {
+BOOST_AUTO_TEST_CASE(capacity_of_starts_lost_with_a_link_is_released) {
   AddAgent("agent-1");
   WorkerStatus status = Status();
   status.started_through = 0;
   Report("agent-1", {}, status);
   Arrive(1, 10);
-  Do(PeerDown{"agent-1", 1});
-  Do(PeerUp{"agent-1", 1});
+  Do(PeerDisconnected{"agent-1", 1});
+  Do(PeerConnected{"agent-1", 1});
   Report("agent-1", {}, status);
   BOOST_TEST(!SentTo<StartRuns>("agent-1", Arrive(2, 10, "77aa")).empty());
 }
 
-BOOST_AUTO_TEST_CASE(agent_replaced_by_another_process_loses_its_runs_later) {
+BOOST_AUTO_TEST_CASE(runs_of_a_replaced_agent_are_restarted_after_the_bound) {
   AddAgent("agent-1");
   Arrive(1, 1);
-  Do(PeerDown{"agent-1", 1});
-  Do(PeerUp{"agent-1", 2});
+  Do(PeerDisconnected{"agent-1", 1});
+  Do(PeerConnected{"agent-1", 2});
   std::vector<StartRuns> starts;
   absl::Duration waited;
   while (starts.empty() && waited < absl::Seconds(3)) {
-    Do(PeerSaid{"agent-1", 2, RunReports{clock.ms(), Status(), {}}});
+    Do(PeerMessageReceived{"agent-1", 2, RunReports{clock.ms(), Status(), {}}});
     starts = SentTo<StartRuns>("agent-1", Pass(absl::Milliseconds(20)));
     waited += absl::Milliseconds(20);
   }
@@ -348,7 +353,7 @@
 BOOST_AUTO_TEST_CASE(pause_longer_than_the_limit_ends_every_job) {
   AddAgent("agent-1");
   Arrive(1, 1);
-  clock.Advance(kPauseLimit + absl::Milliseconds(1));
+  clock.Advance(kMaxEntryPause + absl::Milliseconds(1));
   const auto actions = Do(TimePassed{});
   BOOST_TEST(SentTo<StopRuns>("agent-1", actions).size() == 1u);
   const auto answers = Answers(actions);
@@ -360,7 +365,7 @@
 // and a later attempt of it may run elsewhere.
 BOOST_AUTO_TEST_CASE(request_read_right_after_a_pause_is_refused_as_not_run) {
   AddAgent("agent-1");
-  clock.Advance(kPauseLimit + absl::Milliseconds(1));
+  clock.Advance(kMaxEntryPause + absl::Milliseconds(1));
   const auto actions = Arrive(1, 1);
   BOOST_TEST(SentTo<StartRuns>("agent-1", actions).empty());
   const auto answers = Answers(actions);
@@ -370,19 +375,19 @@
 
 BOOST_AUTO_TEST_CASE(request_read_later_after_a_pause_is_served) {
   AddAgent("agent-1");
-  clock.Advance(kPauseLimit + absl::Milliseconds(1));
+  clock.Advance(kMaxEntryPause + absl::Milliseconds(1));
   Do(TimePassed{});
   Pass(absl::Milliseconds(200));
   BOOST_TEST(SentTo<StartRuns>("agent-1", Arrive(1, 1)).size() == 1u);
 }
 
-BOOST_AUTO_TEST_CASE(idle_dispatcher_asks_to_be_called_well_within_the_limit) {
+BOOST_AUTO_TEST_CASE(idle_dispatcher_wakes_well_within_the_pause_limit) {
   AddAgent("agent-1");
-  BOOST_TEST((dispatcher.NextWake() - clock.now().mono <= kPauseLimit / 4));
+  BOOST_TEST((dispatcher.NextWake() - clock.now().mono <= kMaxEntryPause / 4));
 }
 
 // It has no runs there whose ends would tell of room.
-BOOST_AUTO_TEST_CASE(waiting_job_asks_agents_that_were_full_for_room) {
+BOOST_AUTO_TEST_CASE(waiting_job_asks_full_agents_for_capacity) {
   AddAgent("agent-1");
   Report("agent-1", {}, Status({0, 0, 0}));
   Arrive(1, 1);
@@ -395,12 +400,12 @@
       1u);
 }
 
-BOOST_AUTO_TEST_CASE(give_up_all_answers_every_job_truthfully) {
+BOOST_AUTO_TEST_CASE(shutdown_answers_every_job_with_its_verdict) {
   AddAgent("agent-1");
   Arrive(1, 1);
   Report("agent-1", {}, Status({0, 0, 0}));
   Arrive(2, 1, "other");
-  const JobDispatcherActions actions = dispatcher.GiveUpAll(clock.now());
+  const JobDispatcherActions actions = dispatcher.AbandonAllJobs(clock.now());
   for (const AnswerJob& answer : ActionsOf<AnswerJob>(actions)) {
     BOOST_TEST(
         (answer.answer.verdict ==
@@ -411,7 +416,7 @@
   BOOST_TEST(dispatcher.open_jobs() == 0u);
 }
 
-BOOST_AUTO_TEST_CASE(waiting_jobs_get_room_by_priority_then_by_arrival) {
+BOOST_AUTO_TEST_CASE(waiting_jobs_are_started_by_priority_then_by_arrival) {
   AddAgent("agent-1");
   Report("agent-1", {}, Status({0, 0, 0}));
   Arrive(1, 1, "a", 2);
@@ -441,7 +446,7 @@
 }
 
 // A task that crashes each worker that starts it.
-BOOST_AUTO_TEST_CASE(task_whose_workers_crash_is_given_up_after_two) {
+BOOST_AUTO_TEST_CASE(task_whose_workers_crash_is_abandoned_after_two) {
   AddAgent("agent-1");
   AddAgent("agent-2");
   AddAgent("agent-3");
@@ -468,7 +473,7 @@
   BOOST_TEST(answers[0].reason == "crashes_workers");
 }
 
-BOOST_AUTO_TEST_CASE(worker_back_from_a_crash_gets_other_tasks_at_once) {
+BOOST_AUTO_TEST_CASE(restarted_worker_gets_other_tasks_at_once) {
   AddAgent("agent-1");
   Arrive(1, 1);
   Report("agent-1", {End(0, RunEnd::kWorkerLost)}, Status());
@@ -476,14 +481,14 @@
   BOOST_TEST(starts.size() == 1u);
 }
 
-BOOST_AUTO_TEST_CASE(task_that_no_linked_worker_holds_asks_for_others) {
+BOOST_AUTO_TEST_CASE(task_that_fits_no_linked_worker_requests_a_larger_subset) {
   AddAgent("agent-1");
   Arrive(1, 1);
   Pass(absl::Milliseconds(100));
-  BOOST_TEST(dispatcher.pool().reaches().at("desk").enough);
+  BOOST_TEST(dispatcher.pool().subsets().at("desk").sufficient);
   Do(Arrival(2, "large", {{1, {6000, 64, 1}, 100}}));
   Pass(absl::Milliseconds(20));
-  BOOST_TEST(!dispatcher.pool().reaches().at("desk").enough);
+  BOOST_TEST(!dispatcher.pool().subsets().at("desk").sufficient);
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/test/load_scenario.cc
+++ b/test/load_scenario.cc
@@ -98,8 +98,9 @@
   job.objective =
       Ms(static_cast<int64_t>(kStretch * static_cast<double>(longest)) +
          kObjectiveMs);
-  job.plan.patience = kind.patience + kLateObjectives * job.objective;
-  job.plan.patience_is_total = true;
+  job.plan.caller_timeout =
+      kind.caller_timeout + kLateObjectives * job.objective;
+  job.plan.caller_timeout_is_total = true;
   const double mean_work = kind.tasks * kind.work_ms / 1000 * kind.cores;
   const double size = 0.3 + 0.7 * job.CoreSeconds() / mean_work;
   job.worth = kind.worth * std::min(4.0, size);
@@ -269,11 +270,11 @@
   return scenario;
 }
 
-std::unique_ptr<RunWorld> PlayLoad(const LoadScenario& scenario,
-                                   const std::vector<LoadJob>& jobs,
-                                   uint64_t seed,
-                                   const DispatchPolicy& policy,
-                                   std::vector<double>* busy) {
+std::unique_ptr<RunWorld> SimulateLoad(const LoadScenario& scenario,
+                                       const std::vector<LoadJob>& jobs,
+                                       uint64_t seed,
+                                       const DispatchPolicy& policy,
+                                       std::vector<double>* busy) {
   RunWorldOptions options;
   options.seed = seed;
   options.entries = scenario.entries;
--- a/test/load_scenario.h
+++ b/test/load_scenario.h
@@ -32,7 +32,7 @@
   double work_spread = 0.4;
   double cores = 6.2;  // mean, of a task
   double worth = 1;    // mean, of a job on time
-  VirtualUs patience = Ms(1500);
+  VirtualUs caller_timeout = Ms(1500);
 };
 
 // `factor` times the usual number of jobs.
@@ -99,11 +99,11 @@
 
 // Plays the jobs; the world is left as it is at the end, `lasts` and 8 s more.
 // `busy`, if any, gets the share of the processors in use, each kBusyStep.
-std::unique_ptr<RunWorld> PlayLoad(const LoadScenario& scenario,
-                                   const std::vector<LoadJob>& jobs,
-                                   uint64_t seed,
-                                   const DispatchPolicy& policy = {},
-                                   std::vector<double>* busy = nullptr);
+std::unique_ptr<RunWorld> SimulateLoad(const LoadScenario& scenario,
+                                       const std::vector<LoadJob>& jobs,
+                                       uint64_t seed,
+                                       const DispatchPolicy& policy = {},
+                                       std::vector<double>* busy = nullptr);
 inline constexpr VirtualUs kBusyStep = Ms(10);
 
 // What an outcome is worth: all on time, a fifth up to three times the
--- a/test/load_test.cc
+++ b/test/load_test.cc
@@ -29,7 +29,7 @@
     double sum = 0;
     for (uint64_t seed = 1; seed <= kDraws; ++seed) {
       const std::vector<LoadJob> jobs = DrawJobs(scenario, seed);
-      const auto world = PlayLoad(scenario, jobs, seed, policy);
+      const auto world = SimulateLoad(scenario, jobs, seed, policy);
       BOOST_TEST(world->violations().empty());
       sum += ShareServed(jobs, *world, Ms(4'000), Ms(12'000), kind);
     }
@@ -41,7 +41,7 @@
   double LongestWaitOfRefused() const {
     double longest = 0;
     const std::vector<LoadJob> jobs = DrawJobs(scenario, 1);
-    const auto world = PlayLoad(scenario, jobs, 1);
+    const auto world = SimulateLoad(scenario, jobs, 1);
     for (size_t i = 0; i < jobs.size(); ++i) {
       const JobOutcome outcome = world->OutcomeOf(static_cast<int>(i));
       const JobPlan& plan = jobs[i].plan;
@@ -73,13 +73,13 @@
 
 BOOST_FIXTURE_TEST_SUITE(load, LoadFixture)
 
-BOOST_AUTO_TEST_CASE(load_within_the_room_is_served_whole) {
+BOOST_AUTO_TEST_CASE(load_below_capacity_is_served_whole) {
   scenario.load = 0.8;
   BOOST_TEST(Served() > 0.99);
 }
 
 // Goodput levels off past the room of the workers; 0.85 is the stated aim.
-BOOST_AUTO_TEST_CASE(load_twice_the_room_is_served_nearly_as_much_as_once) {
+BOOST_AUTO_TEST_CASE(load_of_twice_the_capacity_keeps_the_goodput) {
   const double usual = 1 / 0.73;  // MixedLoad() asks for 0.73 of the room
   scenario.load = usual;
   const double at_the_limit = usual * Served();
@@ -134,14 +134,15 @@
 
 // 60 workers behind 13 entries. With all workers in reach a start in two finds
 // no room, and each of them costs two messages.
-BOOST_AUTO_TEST_CASE(fleet_in_a_burst_starts_less_in_vain_with_few_in_reach) {
+BOOST_AUTO_TEST_CASE(
+    fleet_in_a_burst_has_fewer_refused_starts_with_a_small_subset) {
   scenario = FleetLoad(0.5);
   scenario.lasts = Ms(7'000);
   scenario.load = 1.1;
   scenario.bursts = {{.at = Ms(4'000), .lasts = Ms(3'000), .factor = 1.25}};
   const std::vector<LoadJob> jobs = DrawJobs(scenario, 1);
-  const auto few = PlayLoad(scenario, jobs, 1);
-  const auto all = PlayLoad(scenario, jobs, 1, Without("worker_reach"));
+  const auto few = SimulateLoad(scenario, jobs, 1);
+  const auto all = SimulateLoad(scenario, jobs, 1, Without("worker_reach"));
   BOOST_TEST(InVain(*few) < 0.9 * InVain(*all));
   BOOST_TEST(static_cast<double>(few->messages()) <
              0.985 * static_cast<double>(all->messages()));
@@ -160,7 +161,7 @@
                         .lasts = Ms(20'000),
                         .share = 0.5}};
   const std::vector<LoadJob> jobs = DrawJobs(scenario, 1);
-  const auto world = PlayLoad(scenario, jobs, 1);
+  const auto world = SimulateLoad(scenario, jobs, 1);
   // What ran there is found lost, and the worker is known to be gone, with its
   // next announcement.
   BOOST_TEST(ShareServed(jobs, *world, Ms(4'000), Ms(6'000)) > 0.95);
--- a/test/member_announcer_test.cc
+++ b/test/member_announcer_test.cc
@@ -109,7 +109,8 @@
 
 BOOST_FIXTURE_TEST_SUITE(member_announcer, MemberAnnouncerFixture)
 
-BOOST_AUTO_TEST_CASE(fleet_that_starts_at_once_is_recorded_without_repeats) {
+BOOST_AUTO_TEST_CASE(
+    processes_starting_together_are_recorded_without_repeated_appends) {
   for (const uint32_t count : {983u, 1966u}) {
     MemberAnnouncerFixture fixture;
     fixture.StartProcesses(count);
@@ -125,7 +126,8 @@
 // Of what each process has to say, two records, none is sent again but for the
 // refusals while more waits at the store than it takes: one for each doubling
 // of the pause, from 0.1 s on, within the time that the store needs for all.
-BOOST_AUTO_TEST_CASE(calls_of_a_process_grow_with_the_logarithm_of_the_fleet) {
+BOOST_AUTO_TEST_CASE(
+    calls_per_process_grow_with_the_logarithm_of_the_process_count) {
   for (const uint32_t count : {492u, 983u, 1966u, 3932u}) {
     MemberAnnouncerFixture fixture;
     fixture.StartProcesses(count);
@@ -139,14 +141,14 @@
   }
 }
 
-BOOST_AUTO_TEST_CASE(store_that_is_back_has_every_record_within_seconds) {
+BOOST_AUTO_TEST_CASE(recovered_store_has_every_record_within_seconds) {
   store.away_until = absl::Seconds(20);
   StartProcesses(400);
   timers.RunUntil(absl::Seconds(26));
   BOOST_TEST(store.recorded.size() == 400u);
 }
 
-BOOST_AUTO_TEST_CASE(processes_refused_at_once_come_back_apart) {
+BOOST_AUTO_TEST_CASE(processes_refused_together_retry_at_different_times) {
   store.away_until = absl::Milliseconds(50);
   for (uint32_t i = 0; i < 50; ++i) {
     processes.push_back(
--- a/test/platform_clients_test.cc
+++ b/test/platform_clients_test.cc
@@ -213,7 +213,7 @@
   BOOST_TEST((*page)->entries.size() == 1u);
 }
 
-BOOST_AUTO_TEST_CASE(records_beyond_retention_are_told_by_first_kept) {
+BOOST_AUTO_TEST_CASE(first_kept_reports_records_lost_to_retention) {
   stand_ins::LogServiceOptions options;
   options.retention.records = 2;
   StartLog(options);
@@ -246,7 +246,7 @@
 }
 
 // libcurl would send the append again on a fresh connection.
-BOOST_AUTO_TEST_CASE(lost_reply_on_a_kept_connection_appends_once) {
+BOOST_AUTO_TEST_CASE(lost_reply_on_a_reused_connection_appends_once) {
   StartLog();
   Append("a");
   Control(R"({"mode":"lose_replies"})");
@@ -263,13 +263,13 @@
   BOOST_TEST(Read(0)->head == 0u);
 }
 
-BOOST_AUTO_TEST_CASE(log_that_is_not_there_fails_without_effect) {
+BOOST_AUTO_TEST_CASE(unreachable_log_fails_without_effect) {
   StartLog();
   m_log.reset();
   BOOST_TEST(!MayHaveTakenEffect(Append("a")));
 }
 
-BOOST_AUTO_TEST_CASE(undecodable_record_is_folded_to_nothing) {
+BOOST_AUTO_TEST_CASE(undecodable_record_is_applied_as_invalid) {
   StartLog();
   Post(m_log->port(), "/streams/control/records", "not a record");
   Append("a");
@@ -336,7 +336,7 @@
 
 // More starts than four batches hold, so that a stop sent at once would
 // overtake its start; connections for the poll, the batches and one stop.
-BOOST_AUTO_TEST_CASE(wave_of_stops_reaches_every_task_just_started) {
+BOOST_AUTO_TEST_CASE(burst_of_stops_reaches_every_task_just_started) {
   constexpr size_t kTasks = 1200;
   m_options.capacity.slots = kTasks;
   m_options.http.connections = 6;
@@ -364,7 +364,7 @@
   BOOST_TEST((Ends()[0].status == TaskStatus::kFailed));
 }
 
-BOOST_AUTO_TEST_CASE(later_holder_is_told_what_runs_and_the_former_is_refused) {
+BOOST_AUTO_TEST_CASE(new_holder_receives_running_tasks_and_former_is_refused) {
   ConnectFirst();
   m_first->StartBatch({MakeStart("g-1", kLongTask)});
   RunUntilRunning(1);
@@ -408,7 +408,7 @@
   BOOST_TEST(Ends()[0].payload == "stopped");
 }
 
-BOOST_AUTO_TEST_CASE(start_that_the_worker_does_not_know_is_lost) {
+BOOST_AUTO_TEST_CASE(start_not_listed_by_the_worker_is_lost) {
   ConnectFirst();
   Control(R"({"mode":"lose_requests"})");
   m_first->StartBatch({MakeStart("g-1", kLongTask)});
@@ -416,7 +416,7 @@
   BOOST_TEST((Ends()[0].status == TaskStatus::kLost));
 }
 
-BOOST_AUTO_TEST_CASE(worker_gone_is_told_and_taken_again_when_back) {
+BOOST_AUTO_TEST_CASE(restarted_worker_is_reported_lost_and_reconnected) {
   ConnectFirst();
   m_first->StartBatch({MakeStart("g-1", kLongTask)});
   RunUntilRunning(1);
--- a/test/record_codec_test.cc
+++ b/test/record_codec_test.cc
@@ -73,7 +73,7 @@
   CheckRoundTrip(snapshot);
 }
 
-BOOST_AUTO_TEST_CASE(snapshot_from_before_former_entries_is_decoded) {
+BOOST_AUTO_TEST_CASE(snapshot_without_former_entries_is_decoded) {
   const absl::StatusOr<LogRecord> record = DecodeRecord(
       R"({"append_id":"a","type":"snapshot","next_offset":12,"shards":[],)"
       R"("entries":[],"slots":[],"rows":[],"table_version":6})");
--- a/test/run_faults_main.cc
+++ b/test/run_faults_main.cc
@@ -43,7 +43,7 @@
         {.seed = seed,
          .faults = arguments["faults"].as<int>(),
          .evacuations = arguments["evacuations"].as<int>(),
-         .silent_links = arguments["silent-links"].as<int>(),
+         .unresponsive_links = arguments["silent-links"].as<int>(),
          .traced_job = arguments["job"].as<std::string>(),
          .same_worker_ids = arguments["same-worker-ids"].as<bool>()});
     world.Run(Ms(25'000));
--- a/test/run_faults_test.cc
+++ b/test/run_faults_test.cc
@@ -49,9 +49,9 @@
   }
 }
 
-BOOST_AUTO_TEST_CASE(tasks_on_links_that_fall_silent_never_run_twice_at_once) {
+BOOST_AUTO_TEST_CASE(tasks_on_unresponsive_links_never_run_twice_at_once) {
   for (uint64_t seed = 1; seed <= 200; ++seed) {
-    RunWorld world({.seed = seed, .faults = 2, .silent_links = 12});
+    RunWorld world({.seed = seed, .faults = 2, .unresponsive_links = 12});
     world.Run(kDay);
     BOOST_TEST(world.violations().empty(), "seed " << seed << Story(world));
   }
@@ -70,7 +70,7 @@
   plan.queue.timeout_ms = 2500;
   plan.queue.objective_ms = 2500;
   RunWorld world({.entries = 1, .agents = 1, .faults = 0, .plans = {plan}});
-  world.At(plan.at + after, [&world] { world.SilenceLink(0, 0); });
+  world.At(plan.at + after, [&world] { world.MakeLinkUnresponsive(0, 0); });
   world.Run(Ms(8000));
   BOOST_TEST(world.violations().empty());
   *starts = world.StartsIn(0);
@@ -79,7 +79,7 @@
 
 // The order and everything after it is lost: the job hung until its timeout.
 BOOST_AUTO_TEST_CASE(
-    job_whose_order_is_lost_on_a_silent_link_is_ordered_again) {
+    job_whose_start_is_lost_on_an_unresponsive_link_is_started_again) {
   int starts = 0;
   const JobOutcome outcome = OutcomeOnSilentLink(-Ms(1), &starts);
   BOOST_TEST((outcome.verdict == JobVerdict::kCompleted));
@@ -90,7 +90,7 @@
 
 // The report of the end is lost: the job hung until its timeout.
 BOOST_AUTO_TEST_CASE(
-    job_whose_end_is_lost_on_a_silent_link_does_not_run_again) {
+    job_whose_end_is_lost_on_an_unresponsive_link_does_not_run_again) {
   int starts = 0;
   const JobOutcome outcome = OutcomeOnSilentLink(Ms(100), &starts);
   BOOST_TEST((outcome.verdict == JobVerdict::kCompleted));
@@ -99,7 +99,7 @@
   BOOST_TEST(starts == 1);
 }
 
-BOOST_AUTO_TEST_CASE(tasks_on_workers_born_again_never_run_twice_at_once) {
+BOOST_AUTO_TEST_CASE(tasks_on_restarted_workers_never_run_twice_at_once) {
   for (uint64_t seed = 1; seed <= 300; ++seed) {
     RunWorld world({.seed = seed, .faults = 25, .same_worker_ids = true});
     world.Run(kDay);
@@ -108,7 +108,7 @@
 }
 
 // Seeds that once broke a promise, each with its cause.
-BOOST_AUTO_TEST_CASE(seeds_that_failed_before_hold) {
+BOOST_AUTO_TEST_CASE(seeds_that_failed_before_pass) {
   const uint64_t seeds[] = {
       2103, 2279, 2786,  // a request read after a freeze was started
       1875, 2546,        // a report for a former process of the same name
@@ -121,7 +121,7 @@
 }
 
 // Seeds that once showed a start there, each with its cause.
-BOOST_AUTO_TEST_CASE(seeds_with_evacuations_that_failed_before_hold) {
+BOOST_AUTO_TEST_CASE(seeds_with_evacuations_that_failed_before_pass) {
   const uint64_t seeds[] = {
       447, 627, 1052,  // the model told a process of its predecessor's links
   };
@@ -133,7 +133,7 @@
 }
 
 // Seeds with workers born again that once broke a promise, each with its cause.
-BOOST_AUTO_TEST_CASE(seeds_with_same_worker_ids_that_failed_before_hold) {
+BOOST_AUTO_TEST_CASE(seeds_with_same_worker_ids_that_failed_before_pass) {
   const uint64_t seeds[] = {
       289,  // the model let a call outlast the process that it was sent to
   };
--- a/test/run_loss_test.cc
+++ b/test/run_loss_test.cc
@@ -4,7 +4,7 @@
 #include <string>
 #include <vector>
 
-#include "run_keeper_fixture.h"
+#include "run_manager_fixture.h"
 #include "worker_incarnation.h"
 
 namespace egretswitch::internal {
@@ -14,14 +14,14 @@
 const std::string kSecondLife = IncarnationName("i-1", 1'764'750'200'000);
 constexpr int64_t kFirstClock = 5000;
 
-struct RunLossFixture : RunKeeperFixture {
+struct RunLossFixture : RunManagerFixture {
   // The worker of `incarnation` is there, and is told to start task 0.
   StartCall OrderOneTask(const std::string& incarnation) {
-    Do(PeerUp{"entry-1", 7});
-    look = OnlyLook(MeetWorker(incarnation));
+    Do(PeerConnected{"entry-1", 7});
+    look = LastPoll(ConnectWorker(incarnation));
     StartRuns start = Start(1);
     start.worker = incarnation;
-    const auto calls = ActionsOf<StartCall>(Say(start));
+    const auto calls = ActionsOf<StartCall>(SendFromEntry(start));
     BOOST_REQUIRE(calls.size() == 1u);
     return calls[0];
   }
@@ -29,32 +29,32 @@
   // Another worker announces itself and answers in place of the present one.
   RunReport LossBy(const std::string& incarnation) {
     const auto looks =
-        ActionsOf<LookCall>(Do(WorkerAnnounced{Announcement(incarnation)}));
+        ActionsOf<PollCall>(Do(WorkerAnnounced{Announcement(incarnation)}));
     BOOST_REQUIRE(looks.size() == 1u);
-    const auto reports = Reports(AnswerLook(looks[0], {}, {}));
+    const auto reports = Reports(AnswerPoll(looks[0], {}, {}));
     BOOST_REQUIRE(reports.size() == 1u);
     BOOST_TEST((reports[0].end == RunEnd::kWorkerLost));
     return reports[0];
   }
 
-  LookCall look;
+  PollCall look;
 };
 
 BOOST_FIXTURE_TEST_SUITE(run_loss, RunLossFixture)
 
 // Guards against a start that reached nobody and is told as a crash.
-BOOST_AUTO_TEST_CASE(run_never_confirmed_is_told_as_one_that_may_have_begun) {
+BOOST_AUTO_TEST_CASE(unconfirmed_run_is_reported_as_may_have_begun) {
   OrderOneTask("i-1");
   BOOST_TEST((LossBy("i-2").loss == RunLoss::kMayHaveBegun));
 }
 
-BOOST_AUTO_TEST_CASE(run_under_which_its_worker_crashed_is_told_so) {
+BOOST_AUTO_TEST_CASE(run_whose_worker_crashed_is_reported_as_crashed) {
   Do(StartAnswered{OrderOneTask("i-1"), Answer()});
   BOOST_TEST((LossBy("i-2").loss == RunLoss::kWorkerCrashed));
 }
 
 // Guards against a planned end that is told as a crash.
-BOOST_AUTO_TEST_CASE(run_on_a_worker_that_was_leaving_is_told_as_gone) {
+BOOST_AUTO_TEST_CASE(run_on_a_leaving_worker_is_reported_as_gone) {
   Do(StartAnswered{OrderOneTask("i-1"), Answer()});
   WorkerAnnouncement leaving = Announcement("i-1");
   leaving.leaving = true;
@@ -64,7 +64,7 @@
 
 // Guards against a start that the next life confirmed and lost sight of: its
 // clock starts anew.
-BOOST_AUTO_TEST_CASE(run_confirmed_by_the_next_life_is_no_crash_of_the_former) {
+BOOST_AUTO_TEST_CASE(run_confirmed_by_the_next_incarnation_is_not_a_crash) {
   const StartCall call = OrderOneTask(kFirstLife);
   Do(StartAnswered{call, {CallVerdict::kDone, kFirstClock - 4000}});
   BOOST_TEST((LossBy(kSecondLife).loss == RunLoss::kMayHaveBegun));
@@ -72,11 +72,11 @@
 
 // Guards against confirmations that are passed over: answers on different
 // connections may overtake each other.
-BOOST_AUTO_TEST_CASE(run_whose_confirmation_was_overtaken_counts_as_begun) {
+BOOST_AUTO_TEST_CASE(run_with_an_overtaken_confirmation_counts_as_begun) {
   const StartCall call = OrderOneTask(kFirstLife);
   const int64_t sent_at = Answer().clock_ms;
   clock.Advance(absl::Milliseconds(100));
-  AnswerLook(look, {}, {});
+  AnswerPoll(look, {}, {});
   Do(StartAnswered{call, {CallVerdict::kDone, sent_at}});
   BOOST_TEST((LossBy(kSecondLife).loss == RunLoss::kWorkerCrashed));
 }
@@ -87,7 +87,7 @@
   OrderOneTask("i-1");
   clock.Advance(absl::Milliseconds(60));
   const auto reports =
-      Reports(AnswerLook(look, {}, {{1, Key(0), WorkerRunEnd::kDone}}));
+      Reports(AnswerPoll(look, {}, {{1, Key(0), WorkerRunEnd::kDone}}));
   BOOST_REQUIRE(reports.size() == 1u);
   BOOST_TEST((reports[0].end == RunEnd::kDone));
   BOOST_TEST(reports[0].run_ms == 60u);
--- a/test/run_world.h
+++ b/test/run_world.h
@@ -1,5 +1,5 @@
 // Entries, agents, workers and callers of jobs made of steps in virtual time:
-// the real JobDispatcher and RunKeeper, with small fakes around them, and the
+// the real JobDispatcher and RunManager, with small fakes around them, and the
 // faults that the deployment must bear.
 //
 //   RunWorld world({.seed = 7});
@@ -26,7 +26,7 @@
 #include "dispatch_policy.h"
 #include "fake_run_worker.h"
 #include "job_dispatcher.h"
-#include "run_keeper.h"
+#include "run_manager.h"
 #include "virtual_time.h"
 
 namespace egretswitch::internal {
@@ -47,9 +47,9 @@
   TaskNeeds needs = kFakeTaskNeeds;
   uint32_t estimate_ms = 0;
   JobQueue queue;
-  VirtualUs patience = Ms(2500);  // of the first attempt
+  VirtualUs caller_timeout = Ms(2500);  // of the first attempt
   // Whether the caller waits so long in all, or at each attempt anew.
-  bool patience_is_total = false;
+  bool caller_timeout_is_total = false;
   // Its tasks crash each worker that starts them; they never end otherwise.
   bool crashes_workers = false;
   VirtualUs crashed_for = Ms(200);
@@ -70,7 +70,7 @@
   int jobs = 120;
   int faults = 14;
   int evacuations = 0;          // drawn as well, of one or two data centres
-  int silent_links = 0;         // drawn as well
+  int unresponsive_links = 0;   // drawn as well
   std::string traced_job = {};  // notes about it go to the fault log
   // A worker that crashed starts again under its id, at times at once.
   bool same_worker_ids = false;
@@ -114,14 +114,14 @@
   // How many workers crashed while a task of the job ran on them.
   int CrashesUnder(int job) const;
   // How often one task was tried at one worker, at most.
-  int MostTriesOfATask() const;
+  int MaxStartsOfATask() const;
   // Agents are in kDataCentres data centres by turns: agent-4 in dc-1. The
   // store's new state reaches each entry that runs after `told_after`.
   static constexpr int kDataCentres = 3;
   void SetEvacuated(const std::vector<int>& data_centres,
                     VirtualUs told_after = Ms(5));
   // This entry hears of no evacuation until it is started anew.
-  void TurnAwayFromStore(int entry) { m_entries[entry].turned_away = true; }
+  void BlockStoreUpdates(int entry) { m_entries[entry].turned_away = true; }
   // Starts at workers of a data centre so far.
   int StartsIn(int data_centre) const { return m_starts_in[data_centre]; }
   // So many in a hundred of the worker's answers never come; its calls are
@@ -131,7 +131,7 @@
   }
   // What is sent on the link, either way, is lost until it is dialled anew; by
   // the entry itself, or when TCP has noticed.
-  void SilenceLink(int entry, int agent);
+  void MakeLinkUnresponsive(int entry, int agent);
   // All processes lose power, those of the workers too, for about so long.
   void LoseAllPower(VirtualUs down);
   const std::vector<std::string>& fault_log() const { return m_fault_log; }
@@ -154,7 +154,7 @@
     uint64_t evacuations_told = 0;  // the version, and when
     VirtualUs told_at = 0;
   };
-  struct Agent : Process<RunKeeper, RunKeeperEvent> {
+  struct Agent : Process<RunManager, RunManagerEvent> {
     std::unique_ptr<FakeRunWorker> worker;
     TaskNeeds capacity = kFakeWorkerCapacity;
     double slowness = 1;
@@ -195,7 +195,7 @@
   Link& LinkOf(int entry, int agent) { return m_links[{entry, agent}]; }
 
   void ToEntry(int entry, const JobDispatcherEvent& event);
-  void ToAgent(int agent, const RunKeeperEvent& event);
+  void ToAgent(int agent, const RunManagerEvent& event);
   void FreezeEntry(int entry, VirtualUs until);
   void FreezeAgent(int agent, VirtualUs until);
   template <typename AnyProcess>
@@ -205,7 +205,7 @@
   template <typename AnyProcess>
   void Freeze(AnyProcess& process, VirtualUs until);
   void Perform(const Entry& entry, const JobDispatcherActions& actions);
-  void Perform(const Agent& agent, const RunKeeperActions& actions);
+  void Perform(const Agent& agent, const RunManagerActions& actions);
   void Transmit(const Entry& entry, const SendRunMessage& send);
   void Transmit(const Agent& agent, const SendRunMessage& send);
   VirtualUs ArrivalOn(Way& way) const;
@@ -216,7 +216,7 @@
   void KillAgent(int agent, bool silent);
   void Connect(int entry, int agent);
   void Disconnect(int entry, int agent, VirtualUs told_after);
-  void DialAgain(int entry, int agent);
+  void RedialPeer(int entry, int agent);
   void EndWorker(int agent);
   void ReplaceWorker(int agent);
   void Announce(int agent);
@@ -225,7 +225,7 @@
 
   void CallWorker(int agent, const StartCall& call);
   void CallWorker(int agent, const StopCall& call);
-  void CallWorker(int agent, const LookCall& call);
+  void CallWorker(int agent, const PollCall& call);
   template <typename Call, typename Carry>
   void Send(int agent, const Call& call, Carry carry);
   template <typename Call>
@@ -237,7 +237,7 @@
   bool EndedWithItsWorker(int agent, uint64_t sent_to) const;
   bool LosesAnswer(int agent);
   CallVerdict NobodyThere(MonoTime asked) const;
-  void LookUntil(int agent, LookCall call, VirtualUs give_up, MonoTime asked);
+  void LookUntil(int agent, PollCall call, VirtualUs give_up, MonoTime asked);
   void NoteStart(int agent, const RunKey& key);
   static std::string DataCentreOf(int agent);
   void TellEvacuations(int entry);
--- a/test/run_world_faults.cc
+++ b/test/run_world_faults.cc
@@ -8,7 +8,7 @@
   for (int i = 0; i < options.faults; ++i) {
     m_time.At(Ms(m_time.Random(800, 12'000)), [this] { InjectFault(); });
   }
-  for (int i = 0; i < options.silent_links; ++i) {
+  for (int i = 0; i < options.unresponsive_links; ++i) {
     m_time.At(Ms(m_time.Random(800, 12'000)), [this] { DrawSilentLink(); });
   }
   for (int i = 0; i < options.evacuations; ++i) {
@@ -22,7 +22,7 @@
   const int agent = static_cast<int>(
       m_time.Random(0, static_cast<int64_t>(m_agents.size()) - 1));
   NoteFault(absl::StrCat("silence entry ", entry, " and agent ", agent));
-  SilenceLink(entry, agent);
+  MakeLinkUnresponsive(entry, agent);
 }
 
 // One of the entries at times hears of it only when it is started anew.
@@ -33,7 +33,7 @@
         static_cast<int>(m_time.Random(0, kDataCentres - 1)));
   }
   if (m_time.Random(0, 3) == 0) {
-    TurnAwayFromStore(static_cast<int>(
+    BlockStoreUpdates(static_cast<int>(
         m_time.Random(0, static_cast<int64_t>(m_entries.size()) - 1)));
   }
   const VirtualUs lasts = Ms(m_time.Random(500, 6000));
--- a/test/silent_store_test.cc
+++ b/test/silent_store_test.cc
@@ -149,7 +149,8 @@
 
 // Guards against an entry that refuses or runs by an older configuration while
 // it waits for an answer on a connection that has died.
-BOOST_AUTO_TEST_CASE(configuration_behind_a_silent_connection_is_read_in_time) {
+BOOST_AUTO_TEST_CASE(
+    configuration_is_read_in_time_when_a_connection_stops_responding) {
   absl::Duration latest;  // beyond its bound
   for (int silence_ms = 20; silence_ms <= 12'000; silence_ms += 230) {
     for (const int after_ms : {1, 500, 1000, 2000, 3000, 6000}) {
@@ -165,7 +166,7 @@
 }
 
 // Guards against a store that is asked as fast as it answers.
-BOOST_FIXTURE_TEST_CASE(history_that_is_always_cut_off_is_read_with_pauses,
+BOOST_FIXTURE_TEST_CASE(permanently_truncated_history_is_read_with_pauses,
                         SilentStoreFixture) {
   store.CutHistoryForGood();
   virtual_timers.RunUntil(absl::Seconds(10));
--- a/test/soak/soak_faults.cc
+++ b/test/soak/soak_faults.cc
@@ -76,13 +76,14 @@
   if (internal::EventLoop::MonoNow() >= m_end) {
     return;
   }
-  using Away = platform::WorkerStandIn::Away;
+  using CrashMode = platform::WorkerStandIn::CrashMode;
   const auto draw = [this](int least, int most) {
     return std::uniform_int_distribution<int>(least, most)(m_loss_random);
   };
   const auto& workers = m_deployment.workers();
   const int percent = draw(33, 100);
-  const Away away = draw(0, 2) == 0 ? Away::kSilent : Away::kResets;
+  const CrashMode away =
+      draw(0, 2) == 0 ? CrashMode::kUnresponsive : CrashMode::kResetConnections;
   std::string names;
   for (size_t i = 0; i < workers.size(); ++i) {
     const absl::Duration duration = absl::Milliseconds(draw(100, 1000));
@@ -92,8 +93,9 @@
       m_deployment.CrashWorker(i, away, duration);
     }
   }
-  Note(absl::StrCat(away == Away::kSilent ? "crash unseen:" : "crash together:",
-                    names));
+  Note(absl::StrCat(
+      away == CrashMode::kUnresponsive ? "crash unseen:" : "crash together:",
+      names));
 }
 
 // Series of silences, each with a change of the configuration beside it.
@@ -125,7 +127,7 @@
   m_deployment.store().PutEvacuation(data_centre);
   m_loop.RunAfter(absl::Milliseconds(draw(200, 4000)), [this, data_centre] {
     m_ledger.Note(absl::StrCat("take back ", data_centre));
-    m_deployment.store().TakeBack(data_centre);
+    m_deployment.store().RemoveEvacuation(data_centre);
   });
   m_loop.RunAfter(absl::Milliseconds(draw(500, 5000)), [this] { Evacuate(); });
 }
@@ -233,7 +235,7 @@
       return;
     case 2:
       Note("store forgets its history");
-      store.CutHistory();
+      store.TruncateHistory();
       return;
     default:
       HarmProxy(m_deployment.store_proxy(), "the store");
@@ -253,8 +255,8 @@
   const int percent = Draw(5, 60);
   Note(absl::StrCat("harm ", percent, "% of the calls to ",
                     worker.incarnation()));
-  worker.HarmCalls(percent);
-  m_loop.RunAfter(DrawMs(500, 4000), [&worker] { worker.HarmCalls(0); });
+  worker.LoseCalls(percent);
+  m_loop.RunAfter(DrawMs(500, 4000), [&worker] { worker.LoseCalls(0); });
 }
 
 }  // namespace egretswitch::soak
--- a/test/store_follower_test.cc
+++ b/test/store_follower_test.cc
@@ -81,14 +81,14 @@
   StoreFollower follower{virtual_timers.timers(),
                          store,
                          StoreTable::kConfig,
-                         kConfigWithin,
+                         kDefaultConfigApplyLimit,
                          [this](const KeyedPage&) { ++pages; },
                          [this] { ++failures; }};
 };
 
 BOOST_FIXTURE_TEST_SUITE(store_follower, StoreFollowerFixture)
 
-BOOST_AUTO_TEST_CASE(store_that_answers_is_asked_to_wait_for_news) {
+BOOST_AUTO_TEST_CASE(responsive_store_is_read_with_a_wait) {
   BOOST_TEST((store.last_wait() == kConfigWait));
   store.Answer(KeyedPage{});
   BOOST_TEST((store.last_wait() == kConfigWait));
@@ -97,7 +97,7 @@
 
 // A read that waits is given up only after that wait: one that was sent while
 // the store was away would hide its return for so long.
-BOOST_AUTO_TEST_CASE(store_that_was_lost_is_asked_without_a_wait) {
+BOOST_AUTO_TEST_CASE(failing_store_is_read_without_a_wait) {
   Fail();
   BOOST_TEST((store.last_wait() == absl::ZeroDuration()));
   Fail();
@@ -105,7 +105,7 @@
   BOOST_TEST(failures == 2);
 }
 
-BOOST_AUTO_TEST_CASE(store_regained_is_asked_to_wait_again) {
+BOOST_AUTO_TEST_CASE(recovered_store_is_read_with_a_wait_again) {
   Fail();
   store.Answer(KeyedPage{});
   BOOST_TEST((store.last_wait() == kConfigWait));
@@ -116,7 +116,7 @@
 BOOST_AUTO_TEST_CASE(members_are_read_again_after_a_pause) {
   HeldStore members_store;
   StoreFollower members{virtual_timers.timers(), members_store,
-                        StoreTable::kMembers,    kConfigWithin,
+                        StoreTable::kMembers,    kDefaultConfigApplyLimit,
                         [](const KeyedPage&) {}, [] {}};
   members.Start();
   members_store.Answer(KeyedPage{});
@@ -134,7 +134,8 @@
 
 // What an entry says of its knowledge must not be younger than it is: an answer
 // with a record may have been under way for long.
-BOOST_AUTO_TEST_CASE(table_is_confirmed_up_to_what_the_answer_proves) {
+BOOST_AUTO_TEST_CASE(
+    table_is_confirmed_only_up_to_the_time_that_an_answer_proves) {
   const MonoTime asked = virtual_timers.now();
   Pass(absl::Milliseconds(400));
   KeyedPage news;
@@ -149,7 +150,8 @@
   BOOST_TEST((follower.confirmed_at() == asked + absl::Milliseconds(800)));
 }
 
-BOOST_AUTO_TEST_CASE(confirmation_brings_what_the_waiting_read_has_not) {
+BOOST_AUTO_TEST_CASE(
+    confirmation_delivers_records_that_the_waiting_read_has_not_returned) {
   store.Answer(KeyedPage{});
   Pass(absl::Milliseconds(500));
   const MonoTime asked = virtual_timers.now();
@@ -172,7 +174,7 @@
 }
 
 // Guards against a 404 after a part of the news: a long answer comes in parts.
-BOOST_AUTO_TEST_CASE(confirmation_reads_on_up_to_the_end) {
+BOOST_AUTO_TEST_CASE(confirmation_reads_all_parts_up_to_the_end_of_the_table) {
   store.Answer(KeyedPage{});
   Pass(absl::Milliseconds(500));
   const MonoTime asked = virtual_timers.now();
@@ -202,7 +204,7 @@
   BOOST_TEST(store.reads_now() == 1u);
 }
 
-BOOST_AUTO_TEST_CASE(lost_store_confirms_nothing_and_is_not_asked) {
+BOOST_AUTO_TEST_CASE(failing_store_confirms_nothing_and_is_not_read) {
   Pass(absl::Milliseconds(500));
   Fail();
   bool known = true;
--- a/test/suspects_test.cc
+++ b/test/suspects_test.cc
@@ -6,18 +6,18 @@
 
 #include "job_dispatcher_fixture.h"
 #include "lost_runs.h"
-#include "run_keeper_fixture.h"
+#include "run_manager_fixture.h"
 
 namespace egretswitch::internal {
 namespace {
 
 constexpr uint32_t kCrashedAfterMs = 100;
 
-struct SuspectsAtAgentFixture : RunKeeperFixture {
+struct SuspectsAtAgentFixture : RunManagerFixture {
   SuspectsAtAgentFixture() {
-    MeetWorker("i-1");
-    Do(PeerUp{"entry-1", 1});
-    Do(PeerUp{"entry-2", 1});
+    ConnectWorker("i-1");
+    Do(PeerConnected{"entry-1", 1});
+    Do(PeerConnected{"entry-2", 1});
   }
 
   // The ends that `entry` is told of at once, when it orders one task of `job`.
@@ -29,7 +29,7 @@
     start.runs[0].suspect_ms = suspect_ms;
     std::vector<RunEnd> ends;
     for (const RunReports& told :
-         SentTo<RunReports>(entry, Do(PeerSaid{entry, 1, start}))) {
+         SentTo<RunReports>(entry, Do(PeerMessageReceived{entry, 1, start}))) {
       for (const RunReport& report : told.reports) {
         ends.push_back(report.end);
       }
@@ -53,11 +53,11 @@
 BOOST_AUTO_TEST_CASE(task_without_a_crash_runs_beside_a_suspect) {
   BOOST_TEST(Order("entry-1", "5c0e", kCrashedAfterMs).empty());
   BOOST_TEST(Order("entry-2", "7a21", 0).empty());
-  BOOST_TEST(keeper.runs() == 2u);
+  BOOST_TEST(manager.runs() == 2u);
 }
 
 // Guards against workers that stand idle for tasks that are sound by now.
-BOOST_AUTO_TEST_CASE(task_that_outlives_its_former_run_is_no_suspect) {
+BOOST_AUTO_TEST_CASE(task_that_outlives_its_previous_run_is_no_suspect) {
   BOOST_TEST(Order("entry-1", "5c0e", kCrashedAfterMs).empty());
   clock.Advance(absl::Milliseconds(kCrashedAfterMs));
   BOOST_TEST(Order("entry-2", "7a21", kCrashedAfterMs).empty());
@@ -109,7 +109,7 @@
 
 struct SuspectMsFixture {
   void Crash(const std::string& agent, MonoTime at) {
-    losses.Note(agent, at);
+    losses.Record(agent, at);
     lost.push_back({agent, at, RunLoss::kWorkerCrashed, kCrashedAfterMs});
   }
 
@@ -129,22 +129,22 @@
 // Guards against the tasks of a rack that lost its power once: each would have
 // a worker to itself.
 BOOST_AUTO_TEST_CASE(task_whose_worker_crashed_beside_others_is_no_suspect) {
-  losses.Note("agent-7", kFirst);
+  losses.Record("agent-7", kFirst);
   Crash("agent-1", kFirst);
   BOOST_TEST(SuspectMs(lost, losses) == 0u);
 }
 
 // Guards against a third crash that is held against a sound task.
 BOOST_AUTO_TEST_CASE(task_under_two_crashes_beside_others_is_a_suspect) {
-  losses.Note("agent-7", kFirst);
+  losses.Record("agent-7", kFirst);
   Crash("agent-1", kFirst);
-  losses.Note("agent-8", kLater);
+  losses.Record("agent-8", kLater);
   Crash("agent-2", kLater);
   BOOST_TEST(SuspectMs(lost, losses) == kCrashedAfterMs);
 }
 
-BOOST_AUTO_TEST_CASE(task_whose_worker_fell_silent_is_no_suspect) {
-  losses.Note("agent-1", kFirst);
+BOOST_AUTO_TEST_CASE(task_whose_worker_was_unresponsive_is_no_suspect) {
+  losses.Record("agent-1", kFirst);
   lost.push_back({"agent-1", kFirst, RunLoss::kWorkerGone, kCrashedAfterMs});
   BOOST_TEST(SuspectMs(lost, losses) == 0u);
 }
--- a/test/table_exchange_test.cc
+++ b/test/table_exchange_test.cc
@@ -56,8 +56,9 @@
       for (int j = 0; j < count; ++j) {
         if (i != j) {
           const bool near = i % kDataCentres == j % kDataCentres;
-          Tell(i, EntryLinked{Name(j), near ? PeerPlace::kSameDataCentre
-                                            : PeerPlace::kElsewhere});
+          Tell(i,
+               EntryConnected{Name(j), near ? PeerProximity::kSameDataCentre
+                                            : PeerProximity::kOtherDataCentre});
         }
       }
     }
@@ -72,7 +73,7 @@
       return;
     }
     for (const TableAction& action : at.exchange.Handle(event, Now())) {
-      if (const auto* tell = std::get_if<TellEntry>(&action)) {
+      if (const auto* tell = std::get_if<SendTableMessage>(&action)) {
         Transmit(entry, *tell);
       } else if (std::holds_alternative<NoteStateChange>(action)) {
         ++at.notes;
@@ -116,7 +117,7 @@
 
   MonoTime Now() const { return absl::Microseconds(m_time.now()); }
 
-  void Transmit(int from, const TellEntry& tell) {
+  void Transmit(int from, const SendTableMessage& tell) {
     const int to = std::stoi(tell.name.substr(std::string("entry-").size()));
     if (const auto* part = std::get_if<ConfigPart>(&tell.body)) {
       m_queues_sent += part->queues.size();
@@ -131,7 +132,7 @@
     free_at = std::max(free_at, m_time.now()) +
               Ms(static_cast<int64_t>(bytes.size())) / m_bytes_per_ms;
     m_time.At(free_at + kDelay, [this, from, to, body = tell.body] {
-      Tell(to, EntrySaid{Name(from), body});
+      Tell(to, TableMessageReceived{Name(from), body});
     });
   }
 
@@ -149,7 +150,8 @@
 
 BOOST_AUTO_TEST_SUITE(table_exchange)
 
-BOOST_AUTO_TEST_CASE(version_that_all_entries_read_is_sent_by_none) {
+BOOST_AUTO_TEST_CASE(
+    version_read_from_the_store_by_all_entries_is_not_sent_between_them) {
   Entries entries(55);
   for (int i = 0; i < 55; ++i) {
     entries.Tell(i, ConfigRead{Config(7, kLargeConfig)});
@@ -161,9 +163,9 @@
   BOOST_TEST(entries.members_sent() == 0);
 }
 
-BOOST_AUTO_TEST_CASE(entry_that_the_store_refuses_gets_one_copy) {
+BOOST_AUTO_TEST_CASE(entry_refused_by_the_store_fetches_one_copy_from_a_peer) {
   Entries entries(55);
-  entries.Tell(9, StoreSeen{StoreTable::kConfig, true});
+  entries.Tell(9, StoreReadResult{StoreTable::kConfig, true});
   for (int i = 0; i < 55; ++i) {
     if (i != 9) {
       entries.Tell(i, ConfigRead{Config(7, kLargeConfig)});
@@ -175,10 +177,10 @@
   BOOST_TEST(*entries.senders().begin() % 5 == 4, "not of the data centre");
 }
 
-BOOST_AUTO_TEST_CASE(entries_that_the_store_refuses_ask_different_neighbours) {
+BOOST_AUTO_TEST_CASE(entries_refused_by_the_store_fetch_from_different_peers) {
   Entries entries(55);
   for (int i = 0; i < 18; ++i) {
-    entries.Tell(i, StoreSeen{StoreTable::kConfig, true});
+    entries.Tell(i, StoreReadResult{StoreTable::kConfig, true});
   }
   for (int i = 18; i < 55; ++i) {
     entries.Tell(i, ConfigRead{Config(7, kLargeConfig)});
@@ -192,7 +194,8 @@
 }
 
 // Its reads neither fail nor end.
-BOOST_AUTO_TEST_CASE(entry_whose_store_is_silent_asks_after_a_second) {
+BOOST_AUTO_TEST_CASE(
+    entry_with_an_unresponsive_store_asks_a_peer_after_a_second) {
   Entries entries(5);
   entries.Tell(0, ConfigRead{Config(7, kLargeConfig)});
   entries.RunFor(Ms(900));
@@ -201,9 +204,9 @@
   BOOST_TEST(entries[3].config().version == 7);
 }
 
-BOOST_AUTO_TEST_CASE(neighbour_that_stops_midway_is_followed_by_another) {
+BOOST_AUTO_TEST_CASE(fetch_resumes_from_another_peer_when_one_stops_midway) {
   Entries entries(3, kNarrowLink);
-  entries.Tell(2, StoreSeen{StoreTable::kConfig, true});
+  entries.Tell(2, StoreReadResult{StoreTable::kConfig, true});
   entries.Tell(0, ConfigRead{Config(7, kLargeConfig)});
   entries.RunFor(Ms(60));
   BOOST_TEST(entries.queues_sent() > 0);
@@ -215,12 +218,13 @@
   BOOST_TEST(entries.queues_sent() <= kLargeConfig + 64);
 }
 
-BOOST_AUTO_TEST_CASE(neighbour_that_lies_about_its_version_is_asked_once) {
+BOOST_AUTO_TEST_CASE(peer_that_claims_a_version_it_lacks_is_asked_once) {
   Entries entries(3);
   entries.Tell(1, ConfigRead{Config(7, 2)});
   entries.Tell(2, ConfigRead{Config(7, 2)});
-  entries.Tell(2, StoreSeen{StoreTable::kConfig, true});
-  entries.Tell(2, EntrySaid{"entry-1", TablesHeld{.config = 99, .members = 0}});
+  entries.Tell(2, StoreReadResult{StoreTable::kConfig, true});
+  entries.Tell(2, TableMessageReceived{
+                      "entry-1", TableVersions{.config = 99, .members = 0}});
   entries.RunFor(Ms(3000));
   BOOST_TEST(entries[2].config().version == 7);
   BOOST_TEST(entries.notes(2) == 1);
@@ -230,7 +234,7 @@
   return {.records = {{data_centre, true, through}}, .through = through};
 }
 
-BOOST_AUTO_TEST_CASE(evacuation_reaches_those_that_the_store_turns_away) {
+BOOST_AUTO_TEST_CASE(evacuation_reaches_entries_refused_by_the_store) {
   Entries entries(55);
   entries.Tell(3, Evacuated(7, "south"));
   entries.RunFor(Ms(20));
@@ -239,7 +243,7 @@
   }
 }
 
-BOOST_AUTO_TEST_CASE(taking_back_reaches_those_that_the_store_turns_away) {
+BOOST_AUTO_TEST_CASE(end_of_evacuation_reaches_entries_refused_by_the_store) {
   Entries entries(5);
   entries.Tell(3, Evacuated(7, "south"));
   entries.RunFor(Ms(20));
@@ -251,17 +255,18 @@
   }
 }
 
-BOOST_AUTO_TEST_CASE(neighbour_with_an_old_state_undoes_nothing) {
+BOOST_AUTO_TEST_CASE(older_evacuation_state_of_a_peer_is_ignored) {
   Entries entries(2);
   entries.Tell(0, Evacuated(7, "south"));
   entries.RunFor(Ms(20));
-  entries.Tell(0, EntrySaid{"entry-1", Evacuations{6, {}}});
+  entries.Tell(0, TableMessageReceived{"entry-1", Evacuations{6, {}}});
   BOOST_TEST(entries[0].evacuations().Covers("south"));
 }
 
 // The neighbour was turned away by the store between the two changes; this
 // entry has read both at once.
-BOOST_AUTO_TEST_CASE(neighbour_with_an_old_state_is_told_the_newer_one) {
+BOOST_AUTO_TEST_CASE(
+    peer_with_an_older_evacuation_state_is_sent_the_newer_one) {
   Entries entries(2);
   entries.Tell(1, EvacuationsRead{.records = {}, .through = 6, .whole = true});
   entries.RunFor(Ms(20));
@@ -273,13 +278,14 @@
   BOOST_TEST(!entries[0].evacuations().Covers("south"));
 }
 
-BOOST_AUTO_TEST_CASE(entry_that_is_linked_later_is_told_what_is_evacuated) {
+BOOST_AUTO_TEST_CASE(evacuations_are_sent_to_an_entry_that_connects_later) {
   TableExchange exchange(1);
   exchange.Handle(Evacuated(7, "south"), absl::Seconds(1));
   bool told = false;
   for (const TableAction& action : exchange.Handle(
-           EntryLinked{"entry-9", PeerPlace::kElsewhere}, absl::Seconds(2))) {
-    const auto* tell = std::get_if<TellEntry>(&action);
+           EntryConnected{"entry-9", PeerProximity::kOtherDataCentre},
+           absl::Seconds(2))) {
+    const auto* tell = std::get_if<SendTableMessage>(&action);
     told = told ||
            (tell != nullptr && std::holds_alternative<Evacuations>(tell->body));
   }
@@ -287,27 +293,29 @@
 }
 
 // The version tells a new entry that nothing is evacuated from not knowing.
-BOOST_AUTO_TEST_CASE(state_without_evacuations_is_told_once_known) {
+BOOST_AUTO_TEST_CASE(empty_evacuation_state_is_sent_once_read_from_the_store) {
   Entries entries(2);
-  BOOST_TEST(!entries[1].evacuations().Known());
+  BOOST_TEST(!entries[1].evacuations().IsLoaded());
   entries.Tell(0, EvacuationsRead{.records = {}, .through = 3, .whole = true});
   entries.RunFor(Ms(20));
-  BOOST_TEST(entries[1].evacuations().Known());
+  BOOST_TEST(entries[1].evacuations().IsLoaded());
 }
 
-BOOST_AUTO_TEST_CASE(part_that_goes_on_nothing_changes_nothing) {
+BOOST_AUTO_TEST_CASE(config_part_that_does_not_continue_the_fetch_is_rejected) {
   Entries entries(3);
-  entries.Tell(2, StoreSeen{StoreTable::kConfig, true});
+  entries.Tell(2, StoreReadResult{StoreTable::kConfig, true});
   entries.Stop(1);
-  entries.Tell(2, EntrySaid{"entry-1", TablesHeld{.config = 9, .members = 0}});
+  entries.Tell(2, TableMessageReceived{
+                      "entry-1", TableVersions{.config = 9, .members = 0}});
   entries.RunFor(Ms(30));
-  entries.Tell(2, EntrySaid{"entry-1", ConfigPart{9, 5, 3, {JobQueue{}}}});
-  entries.Tell(2, EntrySaid{"entry-1", ConfigPart{9, 1, 0, {}}});
+  entries.Tell(
+      2, TableMessageReceived{"entry-1", ConfigPart{9, 5, 3, {JobQueue{}}}});
+  entries.Tell(2, TableMessageReceived{"entry-1", ConfigPart{9, 1, 0, {}}});
   BOOST_TEST(entries[2].config().version == 0);
   BOOST_TEST(entries.notes(2) == 1);
 }
 
-BOOST_AUTO_TEST_CASE(version_older_than_the_present_one_is_not_taken) {
+BOOST_AUTO_TEST_CASE(older_configuration_version_is_ignored) {
   Entries entries(2);
   entries.Tell(0, ConfigRead{Config(7, 2)});
   entries.Tell(0, ConfigRead{Config(6, 3)});
@@ -315,9 +323,10 @@
 }
 
 // A version each 330 ms, while a whole one takes half a second.
-BOOST_AUTO_TEST_CASE(versions_faster_than_the_link_leave_the_reader_served) {
+BOOST_AUTO_TEST_CASE(
+    fetch_completes_when_versions_change_faster_than_the_link_carries_one) {
   Entries entries(2, kNarrowLink);
-  entries.Tell(1, StoreSeen{StoreTable::kConfig, true});
+  entries.Tell(1, StoreReadResult{StoreTable::kConfig, true});
   for (uint64_t version = 1; version <= 12; ++version) {
     entries.Tell(0, ConfigRead{Config(version, kLargeConfig)});
     entries.RunFor(Ms(330));
@@ -327,10 +336,10 @@
   BOOST_TEST((entries[1].config() == Config(12, kLargeConfig)));
 }
 
-BOOST_AUTO_TEST_CASE(members_are_sent_from_where_the_asker_stands) {
+BOOST_AUTO_TEST_CASE(only_members_newer_than_the_requested_version_are_sent) {
   Entries entries(2);
   entries.Tell(1, Members(100));
-  entries.Tell(1, StoreSeen{StoreTable::kMembers, true});
+  entries.Tell(1, StoreReadResult{StoreTable::kMembers, true});
   entries.Tell(0, Members(295));
   entries.RunFor(Ms(500));
   BOOST_TEST(entries[1].members().size() == 295);
@@ -338,18 +347,19 @@
 }
 
 // Both restarted while the store was away: what either has, both have.
-BOOST_AUTO_TEST_CASE(entry_without_a_store_learns_all_when_a_link_comes_up) {
+BOOST_AUTO_TEST_CASE(
+    entry_without_a_store_receives_all_tables_when_a_peer_connects) {
   Entries entries(2);
-  entries.Tell(1, EntryUnlinked{"entry-0"});
-  entries.Tell(0, EntryUnlinked{"entry-1"});
+  entries.Tell(1, EntryDisconnected{"entry-0"});
+  entries.Tell(0, EntryDisconnected{"entry-1"});
   entries.Tell(0, ConfigRead{Config(7, 3)});
   entries.Tell(0, Members(60));
-  entries.Tell(1, StoreSeen{StoreTable::kConfig, true});
-  entries.Tell(1, StoreSeen{StoreTable::kMembers, true});
+  entries.Tell(1, StoreReadResult{StoreTable::kConfig, true});
+  entries.Tell(1, StoreReadResult{StoreTable::kMembers, true});
   entries.RunFor(Ms(1000));
   BOOST_TEST(entries[1].config().version == 0);
-  entries.Tell(0, EntryLinked{"entry-1", PeerPlace::kElsewhere});
-  entries.Tell(1, EntryLinked{"entry-0", PeerPlace::kElsewhere});
+  entries.Tell(0, EntryConnected{"entry-1", PeerProximity::kOtherDataCentre});
+  entries.Tell(1, EntryConnected{"entry-0", PeerProximity::kOtherDataCentre});
   entries.RunFor(Ms(100));
   BOOST_TEST(entries[1].config().version == 7);
   BOOST_TEST(entries[1].members().size() == 60);
--- a/test/worker_loss_test.cc
+++ b/test/worker_loss_test.cc
@@ -86,7 +86,7 @@
 }
 
 // Guards against sound jobs that are blamed for workers that fell silent.
-BOOST_AUTO_TEST_CASE(jobs_on_workers_that_fall_silent_are_not_failed) {
+BOOST_AUTO_TEST_CASE(jobs_on_unresponsive_workers_are_not_failed) {
   for (uint64_t seed = 1; seed <= 20; ++seed) {
     RunWorld world(WorldOf(seed, SoundJobs()));
     for (int agent = 0; agent < kWorkers; ++agent) {
@@ -118,7 +118,8 @@
 
 // Guards against a crashing task that hides behind other losses: it is given up
 // all the same, one crash later.
-BOOST_AUTO_TEST_CASE(job_that_crashes_its_workers_amid_losses_has_three) {
+BOOST_AUTO_TEST_CASE(
+    job_that_crashes_its_workers_amid_losses_is_failed_after_three) {
   for (uint64_t seed = 1; seed <= 20; ++seed) {
     std::vector<JobPlan> plans = SoundJobs();
     JobPlan& crashing = plans[25];
@@ -140,15 +141,15 @@
 
 // Guards against a task that takes down worker after worker when these stay
 // away for long.
-BOOST_AUTO_TEST_CASE(job_whose_crashes_are_never_proved_has_three_an_attempt) {
+BOOST_AUTO_TEST_CASE(job_with_unconfirmed_crashes_has_three_per_attempt) {
   for (uint64_t seed = 1; seed <= 20; ++seed) {
     std::vector<JobPlan> plans = SoundJobs();
     JobPlan& crashing = plans[25];
     crashing.work_ms.assign(1, 5000);
     crashing.crashes_workers = true;
     crashing.crashed_for = Ms(4000);
-    crashing.patience = Ms(6000);
-    crashing.patience_is_total = true;
+    crashing.caller_timeout = Ms(6000);
+    crashing.caller_timeout_is_total = true;
     RunWorld world(WorldOf(seed, plans));
     world.Run(kDay);
     BOOST_TEST(world.CrashesUnder(25) <= 3 * world.OutcomeOf(25).attempts,
--- a/test/worker_reach_test.cc
+++ b/test/worker_subset_test.cc
@@ -1,5 +1,5 @@
 // Which workers an entry deals with, by what it has in hand.
-#include "worker_reach.h"
+#include "worker_subset.h"
 
 #include <boost/test/unit_test.hpp>
 #include <set>
@@ -25,7 +25,7 @@
   }
 
   void Link(WorkerPool& pool, const std::string& agent) {
-    WorkerSeat& seat = pool.LinkUp(agent, 1, "", clock.now().mono);
+    PooledWorker& worker = pool.LinkUp(agent, 1, "", clock.now().mono);
     RunReports reports;
     reports.clock_ms = clock.ms();
     reports.worker = {.worker = "i-" + agent,
@@ -35,19 +35,19 @@
                       .free = {64'000, 131'072, 0},
                       .started_through = 0,
                       .accepting = true};
-    pool.Update(seat, reports, clock.now().mono);
+    pool.Update(worker, reports, clock.now().mono);
   }
 
   // With so many workers' room of tasks in hand.
   void Reach(WorkerPool& pool, double workers_in_hand) {
-    SetReach(pool, {{"desk", workers_in_hand * kWorkerMillicores}},
-             clock.now().mono);
+    SelectSubset(pool, {{"desk", workers_in_hand * kWorkerMillicores}},
+                 clock.now().mono);
   }
 
   static std::set<std::string> InReach(const WorkerPool& pool) {
     std::set<std::string> names;
-    for (const auto& [name, seat] : pool.seats()) {
-      if (seat.in_reach) {
+    for (const auto& [name, worker] : pool.workers()) {
+      if (worker.in_subset) {
         names.insert(name);
       }
     }
@@ -57,9 +57,9 @@
   VirtualClock clock;
 };
 
-BOOST_FIXTURE_TEST_SUITE(worker_reach, WorkerReachFixture)
+BOOST_FIXTURE_TEST_SUITE(worker_subset, WorkerReachFixture)
 
-BOOST_AUTO_TEST_CASE(reach_grows_with_the_work_in_hand_up_to_all) {
+BOOST_AUTO_TEST_CASE(subset_grows_with_the_open_work_up_to_all) {
   WorkerPool pool = Pool(1, 240);
   Reach(pool, 0);
   BOOST_TEST(InReach(pool).size() == 8u);
@@ -71,7 +71,7 @@
   BOOST_TEST(InReach(pool).size() == 240u);
 }
 
-BOOST_AUTO_TEST_CASE(reach_that_grew_shrinks_to_the_same_workers) {
+BOOST_AUTO_TEST_CASE(subset_that_grew_shrinks_to_the_same_workers) {
   WorkerPool pool = Pool(1, 240);
   Reach(pool, 5);
   const std::set<std::string> before = InReach(pool);
@@ -80,7 +80,7 @@
   BOOST_TEST((InReach(pool) == before));
 }
 
-BOOST_AUTO_TEST_CASE(small_fleet_is_in_reach_as_a_whole) {
+BOOST_AUTO_TEST_CASE(small_fleet_is_selected_as_a_whole) {
   for (const int workers : {1, 3, 8}) {
     WorkerPool pool = Pool(1, workers);
     Reach(pool, 0);
@@ -88,7 +88,7 @@
   }
 }
 
-BOOST_AUTO_TEST_CASE(workers_that_cannot_be_used_are_replaced_at_once) {
+BOOST_AUTO_TEST_CASE(unusable_workers_are_replaced_at_once) {
   WorkerPool pool = Pool(1, 240);
   Reach(pool, 5);
   const std::set<std::string> before = InReach(pool);
@@ -106,17 +106,18 @@
   BOOST_TEST(pool.Pick("desk", kSixCores, {}, clock.now().mono) != nullptr);
 }
 
-BOOST_AUTO_TEST_CASE(worker_out_of_reach_is_used_while_its_report_is_fresh) {
+BOOST_AUTO_TEST_CASE(
+    worker_outside_the_subset_is_used_while_its_report_is_fresh) {
   WorkerPool pool = Pool(1, 240);
   Reach(pool, 0);
   std::set<std::string> reached = InReach(pool);
   std::string other;
-  for (const auto& [name, seat] : pool.seats()) {
-    other = seat.in_reach ? other : name;
+  for (const auto& [name, worker] : pool.workers()) {
+    other = worker.in_subset ? other : name;
   }
-  BOOST_TEST(pool.Find(other)->KnownWell(clock.now().mono));
+  BOOST_TEST(pool.Find(other)->HasFreshStatus(clock.now().mono));
   clock.Advance(absl::Milliseconds(20));
-  BOOST_TEST(!pool.Find(other)->KnownWell(clock.now().mono));
+  BOOST_TEST(!pool.Find(other)->HasFreshStatus(clock.now().mono));
 }
 
 // Entries that together use three quarters of the fleet reach nearly all of it,
