--- a/bench/dispatch_lab.cc
+++ b/bench/dispatch_lab.cc
@@ -1,12 +1,13 @@
-// Plays load scenarios against the decisions of entries and agents in virtual
-// time, beside one queue that knows everything, and prints what each served:
+// Simulates entries and agents under load scenarios in virtual time and prints
+// the served share of the load, beside that of an ideal queue with complete
+// information:
 //
 //   build/dispatch_lab bench/scenarios/burst.yaml --seeds 3
-//   build/dispatch_lab bench/scenarios/*.yaml --off stale_last
+//   build/dispatch_lab bench/scenarios/*.yaml --off repeats_last
 //   build/dispatch_lab bench/scenarios/burst.yaml --windows 2000
 //
-// Every figure but counts is a share of the worth of the jobs that came in the
-// scenario's windows: 1 is all of them on time.
+// All figures except counts are shares of the worth of the jobs that arrived in
+// the scenario's windows: 1 means that all of them completed on time.
 #include <algorithm>
 #include <cmath>
 #include <cstdio>
@@ -28,20 +29,22 @@
 constexpr IdealOrder kOrders[] = {IdealOrder::kArrival, IdealOrder::kPriority,
                                   IdealOrder::kWorth};
 
-// Of one play, of the scenario's windows.
+// Results of one simulation, for the scenario's windows.
 struct Figures {
   double served = 0;
   std::vector<double> by_kind;
   std::vector<double> ideal;
   double worst_window = 0;
-  double largest_tenth = 0;  // of a kind, over that kind; the least of them
-  double answered = 0;       // jobs, a share of those that came
-  double late = 0;           // jobs, a hundred of those that came
+  // Served share of a kind's largest tenth over that of the kind; the lowest
+  // of all kinds.
+  double largest_tenth = 0;
+  double answered = 0;  // jobs, a share of those that arrived
+  double late = 0;      // jobs, percent of those that arrived
   double refused = 0;
   double failed = 0;
   double refused_after_ms = 0;  // median
-  double in_vain = 0;           // starts without room, a hundred starts
-  double messages = 0;          // a task
+  double refused_starts = 0;    // for lack of capacity, percent of all starts
+  double messages = 0;          // per started task
   double busy = 0;              // of the processors
 };
 
@@ -57,18 +60,19 @@
                const std::vector<double>& earned,
                VirtualUs from,
                VirtualUs to) {
-  double owed = 0;
-  double got = 0;
+  double total = 0;
+  double sum = 0;
   for (size_t i = 0; i < jobs.size(); ++i) {
     if (jobs[i].plan.at >= from && jobs[i].plan.at < to) {
-      owed += jobs[i].worth;
-      got += earned[i];
+      total += jobs[i].worth;
+      sum += earned[i];
     }
   }
-  return owed == 0 ? 1 : got / owed;
+  return total == 0 ? 1 : sum / total;
 }
 
-// The share served on time of a kind's largest tenth over that of the kind.
+// The share of a kind's largest tenth of jobs that was served on time, over the
+// share for the whole kind.
 double LargestTenth(const LabScenario& scenario,
                     const std::vector<LoadJob>& jobs,
                     const RunWorld& world,
@@ -99,13 +103,13 @@
                    const RunWorld& world,
                    Figures& figures) {
   std::vector<double> waits;
-  int came = 0;
+  int arrived = 0;
   for (size_t i = 0; i < jobs.size(); ++i) {
     const LoadJob& job = jobs[i];
     if (job.plan.at < scenario.from || job.plan.at >= scenario.to) {
       continue;
     }
-    ++came;
+    ++arrived;
     const JobOutcome outcome = world.OutcomeOf(static_cast<int>(i));
     if (outcome.verdict == JobVerdict::kNotRun) {
       ++figures.refused;
@@ -118,7 +122,7 @@
     }
   }
   for (double* count : {&figures.refused, &figures.failed, &figures.late}) {
-    *count *= 100.0 / std::max(1, came);
+    *count *= 100.0 / std::max(1, arrived);
   }
   figures.answered = 1 - (figures.refused + figures.failed) / 100;
   if (!waits.empty()) {
@@ -132,15 +136,16 @@
                const RunWorld& world,
                Figures& figures) {
   double starts = 0;
-  double in_vain = 0;
+  double refused_starts = 0;
   for (int entry = 0; entry < scenario.load.entries; ++entry) {
     const RunCounters& counters = world.CountersOf(entry);
     starts += static_cast<double>(counters.Get(RunCounter::kRunsStarted));
-    in_vain += static_cast<double>(counters.Get(RunCounter::kRetriesNoRoom));
+    refused_starts +=
+        static_cast<double>(counters.Get(RunCounter::kRetriesNoRoom));
   }
-  figures.in_vain = 100 * in_vain / std::max(1.0, starts);
-  figures.messages =
-      static_cast<double>(world.messages()) / std::max(1.0, starts - in_vain);
+  figures.refused_starts = 100 * refused_starts / std::max(1.0, starts);
+  figures.messages = static_cast<double>(world.messages()) /
+                     std::max(1.0, starts - refused_starts);
 }
 
 void PrintWindows(const LabScenario& scenario,
@@ -163,13 +168,13 @@
   }
 }
 
-Figures Play(const LabScenario& scenario,
-             uint64_t seed,
-             const DispatchPolicy& policy,
-             VirtualUs windows) {
+Figures Simulate(const LabScenario& scenario,
+                 uint64_t seed,
+                 const DispatchPolicy& policy,
+                 VirtualUs windows) {
   const std::vector<LoadJob> jobs = DrawJobs(scenario.load, seed);
   std::vector<double> busy;
-  const auto world = PlayLoad(scenario.load, jobs, seed, policy, &busy);
+  const auto world = SimulateLoad(scenario.load, jobs, seed, policy, &busy);
   Figures figures;
   const auto first = static_cast<ptrdiff_t>(scenario.from / kBusyStep);
   const auto last = static_cast<ptrdiff_t>(scenario.to / kBusyStep);
@@ -210,10 +215,10 @@
 }
 
 template <typename Get>
-std::vector<double> Each(const std::vector<Figures>& plays, Get get) {
+std::vector<double> Each(const std::vector<Figures>& simulations, Get get) {
   std::vector<double> values;
-  for (const Figures& play : plays) {
-    values.push_back(get(play));
+  for (const Figures& simulation : simulations) {
+    values.push_back(get(simulation));
   }
   return values;
 }
@@ -230,9 +235,13 @@
               "late", "refus.", "failed", "after ms", "vain", "msgs", "busy");
 }
 
-void PrintRow(const LoadScenario& scenario, const std::vector<Figures>& plays) {
-  const auto served = Each(plays, [](const Figures& f) { return f.served; });
-  const auto mean = [&plays](auto get) { return Mean(Each(plays, get)); };
+void PrintRow(const LoadScenario& scenario,
+              const std::vector<Figures>& simulations) {
+  const auto served =
+      Each(simulations, [](const Figures& f) { return f.served; });
+  const auto mean = [&simulations](auto get) {
+    return Mean(Each(simulations, get));
+  };
   std::printf("%-16s %7.3f %6.3f %6.3f", scenario.name.c_str(), Mean(served),
               Spread(served),
               mean([](const Figures& f) { return f.worst_window; }));
@@ -249,7 +258,7 @@
               mean([](const Figures& f) { return f.refused; }),
               mean([](const Figures& f) { return f.failed; }),
               mean([](const Figures& f) { return f.refused_after_ms; }),
-              mean([](const Figures& f) { return f.in_vain; }),
+              mean([](const Figures& f) { return f.refused_starts; }),
               mean([](const Figures& f) { return f.messages; }),
               mean([](const Figures& f) { return f.busy; }));
   std::fflush(stdout);
@@ -257,14 +266,15 @@
 
 int Main(int argc, char** argv) {
   cxxopts::Options options("dispatch_lab",
-                           "Plays load scenarios in virtual time.");
+                           "Simulates load scenarios in virtual time.");
   options.add_options()("files", "scenarios",
                         cxxopts::value<std::vector<std::string>>())(
       "first", "first seed", cxxopts::value<uint64_t>()->default_value("1"))(
-      "seeds", "how many", cxxopts::value<uint64_t>()->default_value("3"))(
+      "seeds", "number of seeds",
+      cxxopts::value<uint64_t>()->default_value("3"))(
       "off", "mechanism to switch off",
       cxxopts::value<std::vector<std::string>>()->default_value(""))(
-      "windows", "print each window of so many milliseconds",
+      "windows", "print each window of this many milliseconds",
       cxxopts::value<int64_t>()->default_value("0"))("help", "print this text");
   options.parse_positional({"files"});
   options.positional_help("SCENARIO.yaml...");
@@ -291,12 +301,12 @@
       std::cerr << scenario.status().message() << "\n";
       return 2;
     }
-    std::vector<Figures> plays;
+    std::vector<Figures> simulations;
     for (uint64_t seed = first; seed < first + seeds; ++seed) {
-      plays.push_back(Play(*scenario, seed, policy,
-                           Ms(arguments["windows"].as<int64_t>())));
+      simulations.push_back(Simulate(*scenario, seed, policy,
+                                     Ms(arguments["windows"].as<int64_t>())));
     }
-    PrintRow(scenario->load, plays);
+    PrintRow(scenario->load, simulations);
   }
   return EXIT_SUCCESS;
 }
--- a/bench/goodput_curve.cc
+++ b/bench/goodput_curve.cc
@@ -58,7 +58,7 @@
   double answered = 0;
   for (uint64_t seed = 1; seed <= seeds; ++seed) {
     const std::vector<LoadJob> jobs = DrawJobs(scenario, seed);
-    const auto world = PlayLoad(scenario, jobs, seed);
+    const auto world = SimulateLoad(scenario, jobs, seed);
     for (size_t i = 0; i < jobs.size(); ++i) {
       if (jobs[i].plan.at < kFrom) {
         continue;
--- a/bench/ideal_queue.cc
+++ b/bench/ideal_queue.cc
@@ -18,7 +18,7 @@
 struct Waiting {
   const LoadJob* job = nullptr;
   size_t number = 0;
-  size_t begun = 0;  // tasks
+  size_t started = 0;  // tasks
   VirtualUs last_end = 0;
 };
 
@@ -78,7 +78,7 @@
     }
   }
 
-  // How much longer work takes on the worker just now.
+  // The current factor on the run time of tasks on the worker.
   double Slowness(size_t worker) const {
     double slowness = m_workers[worker].slowness;
     for (const LoadTrouble& trouble : m_scenario.troubles) {
@@ -99,9 +99,10 @@
     return slowness;
   }
 
-  bool MustBeLate(const Waiting& waiting) const {
+  bool WillBeLate(const Waiting& waiting) const {
     int64_t longest = 0;
-    for (size_t i = waiting.begun; i < waiting.job->plan.work_ms.size(); ++i) {
+    for (size_t i = waiting.started; i < waiting.job->plan.work_ms.size();
+         ++i) {
       longest = std::max(longest, waiting.job->plan.work_ms[i]);
     }
     return m_now + Ms(longest) > waiting.job->plan.at + waiting.job->objective;
@@ -110,27 +111,27 @@
   void Start() {
     for (auto it = m_waiting.begin(); it != m_waiting.end();) {
       Waiting& waiting = it->second;
-      const bool dropped = waiting.begun == 0 && MustBeLate(waiting);
+      const bool dropped = waiting.started == 0 && WillBeLate(waiting);
       const bool done = !dropped && StartTasks(waiting);
       it = dropped || done ? m_waiting.erase(it) : std::next(it);
     }
   }
 
-  // True when the last one began.
+  // Returns true when the last task of the job has started.
   bool StartTasks(Waiting& waiting) {
     const JobPlan& plan = waiting.job->plan;
-    while (waiting.begun < plan.work_ms.size()) {
-      const size_t worker = FastestWithRoom(plan.needs);
+    while (waiting.started < plan.work_ms.size()) {
+      const size_t worker = FastestWithCapacity(plan.needs);
       if (worker == m_workers.size()) {
         return false;
       }
       Subtract(m_workers[worker].free, plan.needs);
       const auto lasts = static_cast<VirtualUs>(
           Slowness(worker) *
-          static_cast<double>(Ms(plan.work_ms[waiting.begun])));
+          static_cast<double>(Ms(plan.work_ms[waiting.started])));
       m_ends.push({m_now + lasts, worker, plan.needs});
       waiting.last_end = std::max(waiting.last_end, m_now + lasts);
-      ++waiting.begun;
+      ++waiting.started;
     }
     JobOutcome outcome;
     outcome.verdict = JobVerdict::kCompleted;
@@ -139,9 +140,9 @@
     return true;
   }
 
-  size_t FastestWithRoom(const TaskNeeds& needs) const {
+  size_t FastestWithCapacity(const TaskNeeds& needs) const {
     size_t best = m_workers.size();
-    double least = 1000;  // what hangs is not used
+    double least = 1000;  // excludes workers that hang
     for (size_t i = 0; i < m_workers.size(); ++i) {
       if (Fits(needs, m_workers[i].free) && Slowness(i) < least) {
         least = Slowness(i);
--- a/bench/ideal_queue.h
+++ b/bench/ideal_queue.h
@@ -1,6 +1,6 @@
-// What one queue could serve that sees every worker's room, knows every run
-// time in advance and has no delay: the measure for what entries and agents
-// serve together.
+// Computes what one central queue could serve that sees the free capacity of
+// every worker, knows every run time in advance and has no delay: the reference
+// for what entries and agents serve together.
 //
 //   ServeIdeally(scenario, jobs, IdealOrder::kPriority)[7]  -> job 7's worth
 #ifndef EGRETSWITCH_BENCH_IDEAL_QUEUE_H_
@@ -17,12 +17,13 @@
 enum class IdealOrder : uint8_t {
   kArrival = 0,
   kPriority,
-  kWorth,  // a core-second, which no dispatcher is told
+  kWorth,  // worth per core-second, which no dispatcher can see
 };
 
 std::string_view IdealOrderName(IdealOrder order);
 
-// The worth earned by each job. A job is dropped once it must be late.
+// Returns the worth earned by each job. A job that has not started is dropped
+// once it can no longer end on time.
 std::vector<double> ServeIdeally(const LoadScenario& scenario,
                                  const std::vector<LoadJob>& jobs,
                                  IdealOrder order);
--- a/cmake/runs.cmake
+++ b/cmake/runs.cmake
@@ -6,7 +6,7 @@
   src/job_dispatcher.cc
   src/job_dispatcher_reports.cc
   src/job_dispatcher_time.cc
-  src/job_notes.cc
+  src/job_log_fields.cc
   src/kept_run.cc
   src/lost_runs.cc
   src/link_selection.cc
@@ -29,7 +29,7 @@
   src/step_job.cc
   src/straggler.cc
   src/table_exchange.cc
-  src/usual_patience.cc
+  src/typical_timeout.cc
   src/waiting_jobs.cc
   src/watched_worker.cc
   src/worker_calls.cc
--- a/cmake/test_runs.cmake
+++ b/cmake/test_runs.cmake
@@ -11,7 +11,7 @@
   test/service_config_test.cc
   test/start_forecast_test.cc
   test/table_exchange_test.cc
-  test/usual_patience_test.cc
+  test/typical_timeout_test.cc
   test/worker_lives_test.cc
   test/worker_pool_test.cc
   test/worker_reach_test.cc
--- a/src/caller_codec.h
+++ b/src/caller_codec.h
@@ -25,8 +25,8 @@
 
 struct CallerRequest {
   CallerVerb verb = CallerVerb::kOther;
-  std::string host;                                    // without a port
-  absl::Duration patience = absl::InfiniteDuration();  // until it leaves
+  std::string host;                                          // without a port
+  absl::Duration caller_timeout = absl::InfiniteDuration();  // until it leaves
 };
 
 class CallerCodec {
--- a/src/dispatch_policy.cc
+++ b/src/dispatch_policy.cc
@@ -25,9 +25,9 @@
     policy.refusal = RefuseAfterShare{};
     return true;
   }
-  for (const Switch& known : kSwitches) {
-    if (known.name == name) {
-      policy.*known.member = false;
+  for (const Switch& candidate : kSwitches) {
+    if (candidate.name == name) {
+      policy.*candidate.member = false;
       return true;
     }
   }
--- a/src/dispatch_policy.h
+++ b/src/dispatch_policy.h
@@ -1,6 +1,5 @@
-// Which decisions of an entry are in force. The daemon uses all of them; a
-// model of load can switch each off, so that its worth is a run and not an
-// edit.
+// Switches for the scheduling mechanisms of an entry. The daemon enables all of
+// them; a load simulation can disable each one to measure its effect.
 //
 //   DispatchPolicy policy;
 //   SwitchOff(policy, "predicted_end")   // jobs wait a fixed share instead
@@ -15,8 +14,8 @@
 // A job is refused once its predicted end misses its latency objective.
 struct RefuseByPredictedEnd {};
 
-// A job is refused when nothing of it has begun for this share of its latency
-// objective, whatever waits.
+// A job is refused when none of its tasks has started within this share of its
+// latency objective, regardless of the queue.
 struct RefuseAfterShare {
   double share = 0.24;
 };
@@ -25,24 +24,24 @@
 
 struct DispatchPolicy {
   RefusalRule refusal = RefuseByPredictedEnd{};
-  // Jobs whose caller had no answer to an earlier attempt go last.
+  // Repeats of attempts that were not answered are dispatched last.
   bool repeats_last = true;
-  // Agents give room to the entry with the most urgent task first.
+  // Agents reserve free capacity for the entry with the most urgent task.
   bool urgent_entries_first = true;
-  // An entry deals with as many workers as its own work needs, not with all.
+  // An entry uses a subset of the workers, as large as its own work needs.
   bool worker_reach = true;
-  // Runs that take far longer than their like are moved to another worker.
+  // Runs that take far longer than their siblings are moved to another worker.
   bool move_stragglers = true;
-  // Workers that fail or hang several jobs in a row get none for a while.
+  // Workers that fail or hang several jobs in a row get none for some time.
   bool eject_workers = true;
-  // Run times are expected by what was seen of the queue, not by the caller's
-  // estimate alone.
+  // Run times are predicted from earlier runs of the queue, not from the
+  // caller's estimate alone.
   bool correct_estimates = true;
-  // Faster workers are preferred, by the run times seen.
+  // Faster workers are preferred, judged by their observed run times.
   bool learn_slowness = true;
 };
 
-// False when there is no such mechanism.
+// Returns false if there is no mechanism of that name.
 bool SwitchOff(DispatchPolicy& policy, std::string_view name);
 
 }  // namespace egretswitch::internal
--- a/src/exhausted_room.h
+++ b/src/exhausted_capacity.h
@@ -1,11 +1,11 @@
-// Needs that no worker had room for in one pass over the waiting jobs, so that
-// the jobs behind do not ask each worker again: with hundreds of jobs waiting
-// for hundreds of workers a pass costs one search, not one a task.
+// Task needs for which one pass over the waiting jobs found no worker with free
+// capacity. Later jobs skip the search: with hundreds of jobs waiting for
+// hundreds of workers a pass costs one search instead of one per task.
 //
 //   exhausted.Add("desk", {6200, 64, 0});
-//   exhausted.Covers("desk", {6200, 128, 0})  -> true: it needs no less
-#ifndef EGRETSWITCH_SRC_EXHAUSTED_ROOM_H_
-#define EGRETSWITCH_SRC_EXHAUSTED_ROOM_H_
+//   exhausted.Covers("desk", {6200, 128, 0})  -> true: needs even more
+#ifndef EGRETSWITCH_SRC_EXHAUSTED_CAPACITY_H_
+#define EGRETSWITCH_SRC_EXHAUSTED_CAPACITY_H_
 
 #include <algorithm>
 #include <string>
@@ -16,7 +16,7 @@
 
 namespace egretswitch::internal {
 
-class ExhaustedRoom {
+class ExhaustedCapacity {
  public:
   void Clear() { m_failed.clear(); }
 
@@ -24,7 +24,7 @@
     m_failed.push_back({std::string(service), needs});
   }
 
-  // Whether a search for no more than these needs has failed.
+  // Whether a search for these needs, or for smaller ones, has failed.
   bool Covers(std::string_view service, const TaskNeeds& needs) const {
     return std::any_of(
         m_failed.begin(), m_failed.end(), [&](const Failed& failed) {
@@ -43,4 +43,4 @@
 
 }  // namespace egretswitch::internal
 
-#endif  // EGRETSWITCH_SRC_EXHAUSTED_ROOM_H_
+#endif  // EGRETSWITCH_SRC_EXHAUSTED_CAPACITY_H_
--- a/src/job_dispatcher.cc
+++ b/src/job_dispatcher.cc
@@ -1,6 +1,6 @@
-// A job's tasks wait here, not at the workers: what waits is truthfully "not
-// run" and costs nothing to refuse. Jobs get workers by the priority of their
-// queue, then by arrival; those that a caller hands in again go last.
+// Tasks are queued at the entry, not at the workers: a queued job has certainly
+// not run, so it can be refused as "not run" at no cost. Jobs are dispatched by
+// the priority of their queue, then by arrival; repeated jobs come last.
 //
 //   waiting --Pick()--> running --done--> the last one answers the job
 //      ^------- never started, stopped, failed, agent lost -----/
@@ -11,16 +11,16 @@
 #include <variant>
 
 #include "absl/strings/str_cat.h"
-#include "job_notes.h"
+#include "job_log_fields.h"
 #include "run_limits.h"
 
 namespace egretswitch::internal {
 namespace {
 
-// Without open jobs the dispatcher is called at least so often, so that it
-// notices a pause of its process.
+// The dispatcher is called at least this often, also without open jobs, so that
+// it detects a pause of its process.
 constexpr absl::Duration kIdleCheckPeriod = absl::Milliseconds(100);
-// After a pause, what the sockets hold is read within some turns of the loop.
+// After a pause, the event loop drains the sockets within a few iterations.
 constexpr absl::Duration kStaleRequests = absl::Milliseconds(100);
 
 }  // namespace
@@ -32,7 +32,7 @@
     EndAfterPause();
   }
   m_last_handled = now.mono;
-  std::visit([this](const auto& happened) { On(happened); }, event);
+  std::visit([this](const auto& details) { On(details); }, event);
   Dispatch();
   if (std::holds_alternative<JobArrived>(event)) {
     RefuseEvacuatedJobs();
@@ -43,12 +43,12 @@
   return std::exchange(m_actions, {});
 }
 
-JobDispatcherActions JobDispatcher::GiveUpAll(Now now) {
+JobDispatcherActions JobDispatcher::AbandonAllJobs(Now now) {
   m_now = now;
   while (!m_jobs.empty()) {
     OpenJob& job = *m_jobs.begin()->second;
     StopRunsOf(job);
-    Finish(std::string(job.job.id), GiveUp(job, "shutting_down"));
+    Finish(std::string(job.job.id), AbandonedAnswer(job, "shutting_down"));
   }
   return std::exchange(m_actions, {});
 }
@@ -58,7 +58,7 @@
   return m_jobs.empty() ? idle : std::min(idle, m_next_check);
 }
 
-uint64_t JobDispatcher::JobsNotBegun(std::string_view queue) const {
+uint64_t JobDispatcher::JobsNotStarted(std::string_view queue) const {
   return static_cast<uint64_t>(
       std::count_if(m_jobs.begin(), m_jobs.end(), [queue](const auto& entry) {
         const OpenJob& job = *entry.second;
@@ -67,18 +67,17 @@
       }));
 }
 
-// A process that stood still may have been replaced meanwhile: the callers'
-// later attempts may run at other entries. That holds for what it reads next,
-// too: requests that waited for it, whose callers have long gone elsewhere.
-// NextWake() is never further away than kIdleCheckPeriod, so a longer gap is a
-// pause.
+// While the process was paused, callers may have sent their jobs to other
+// entries, which may run them now. The same holds for requests that queued in
+// the sockets during the pause. NextWake() is at most kIdleCheckPeriod ahead,
+// so a gap longer than kPauseLimit is a pause.
 void JobDispatcher::EndAfterPause() {
   const bool first_event = m_last_handled == absl::ZeroDuration();
   if (first_event) {
     return;
   }
   m_stale_until = m_now.mono + kStaleRequests;
-  Log("pause noticed",
+  Log("pause detected",
       {{"paused_ms",
         absl::StrCat(absl::ToInt64Milliseconds(m_now.mono - m_last_handled))},
        {"jobs", absl::StrCat(m_jobs.size())}});
@@ -86,7 +85,7 @@
     OpenJob& job = *m_jobs.begin()->second;
     m_counters.Add(RunCounter::kJobsEndedByPause);
     StopRunsOf(job);
-    Finish(std::string(job.job.id), GiveUp(job, "entry_paused"));
+    Finish(std::string(job.job.id), AbandonedAnswer(job, "entry_paused"));
   }
 }
 
@@ -103,9 +102,9 @@
     Answer(event.call, {JobVerdict::kNotRun, "entry_paused", RetryAfter()});
     return;
   }
-  if (const auto known = m_jobs.find(event.job.id); known != m_jobs.end()) {
+  if (const auto open = m_jobs.find(event.job.id); open != m_jobs.end()) {
     m_counters.Add(RunCounter::kJobsJoined);
-    known->second->calls.push_back(event.call);
+    open->second->calls.push_back(event.call);
     m_job_of_call[event.call] = event.job.id;
     Log("job joined", {{"job", event.job.id}});
     return;
@@ -113,9 +112,10 @@
   auto job =
       std::make_unique<OpenJob>(MakeOpenJob(event, ++m_arrivals, m_now.mono));
   CorrectEstimates(*job);
-  m_usual_patience.Note(event.queue.name, event.patience);
-  job->goes_last = m_policy.repeats_last &&
-                   m_usual_patience.IsRepeat(event.queue.name, event.patience);
+  m_typical_timeout.Record(event.queue.name, event.caller_timeout);
+  job->deprioritised =
+      m_policy.repeats_last &&
+      m_typical_timeout.IsRepeat(event.queue.name, event.caller_timeout);
   if (m_jobs.empty()) {
     m_next_check = m_now.mono + kCheckPeriod;
   }
@@ -126,7 +126,7 @@
 
 void JobDispatcher::CorrectEstimates(OpenJob& job) const {
   for (JobStep& step : job.job.steps) {
-    job.callers_estimates_ms.push_back(step.estimate_ms);
+    job.caller_estimates_ms.push_back(step.estimate_ms);
     if (m_policy.correct_estimates) {
       step.estimate_ms = m_run_times.Expect(job.queue.name, step.estimate_ms);
     }
@@ -154,65 +154,67 @@
 // ---------------------------------------------------------------------
 
 void JobDispatcher::Dispatch() {
-  m_exhausted.Clear();
+  m_exhausted_capacity.Clear();
   m_waiting.ForEach([this](OpenJob& job) { DispatchJob(job); });
 }
 
-// Takes the room when there is some.
-WorkerSeat* JobDispatcher::FindSeat(const OpenJob& job, const OpenTask& task) {
+// Picks a worker for the task and reserves its capacity; null if no worker has
+// enough. Workers that the task should avoid are used only as a last resort.
+WorkerSeat* JobDispatcher::ReserveWorker(const OpenJob& job,
+                                         const OpenTask& task) {
   const TaskNeeds& needs = job.StepOf(task).needs;
-  if (m_exhausted.Covers(job.queue.service, needs)) {
+  if (m_exhausted_capacity.Covers(job.queue.service, needs)) {
     return nullptr;
   }
-  WorkerSeat* seat =
+  WorkerSeat* worker =
       m_pool.Pick(job.queue.service, needs, task.avoid, m_now.mono);
-  if (seat == nullptr && !task.avoid.empty()) {
-    seat = m_pool.Pick(job.queue.service, needs, {}, m_now.mono);
+  if (worker == nullptr && !task.avoid.empty()) {
+    worker = m_pool.Pick(job.queue.service, needs, {}, m_now.mono);
   }
-  if (seat == nullptr) {
-    m_exhausted.Add(job.queue.service, needs);
+  if (worker == nullptr) {
+    m_exhausted_capacity.Add(job.queue.service, needs);
     return nullptr;
   }
-  m_pool.Take(*seat, needs, 1);
-  m_forecast.NotePlaced(job.queue.service, needs.millicores, m_now.mono);
-  return seat;
+  m_pool.Take(*worker, needs, 1);
+  m_forecast.RecordPlacement(job.queue.service, needs.millicores, m_now.mono);
+  return worker;
 }
 
 void JobDispatcher::DispatchJob(OpenJob& job) {
-  // By step and agent, so that each agent gets one message for a step.
+  // Grouped by step and agent: each agent gets one message per step.
   std::map<std::pair<uint32_t, std::string>, std::vector<OpenTask*>> chosen;
   for (OpenTask& task : job.tasks) {
     if (task.state != OpenTask::State::kWaiting ||
         m_now.mono < task.not_before) {
       continue;
     }
-    WorkerSeat* seat = FindSeat(job, task);
-    if (seat == nullptr) {
+    WorkerSeat* worker = ReserveWorker(job, task);
+    if (worker == nullptr) {
       continue;
     }
     task.state = OpenTask::State::kRunning;
-    task.agent = seat->agent;
-    task.agent_incarnation = seat->incarnation;
+    task.agent = worker->agent;
+    task.agent_incarnation = worker->incarnation;
     task.sent_at = m_now.mono;
     ++task.run;
     --job.waiting;
-    chosen[{task.step, seat->agent}].push_back(&task);
+    chosen[{task.step, worker->agent}].push_back(&task);
   }
-  for (const auto& [place, tasks] : chosen) {
-    SendStarts(job, place.first, *m_pool.Find(place.second), tasks);
+  for (const auto& [target, tasks] : chosen) {
+    SendStarts(job, target.first, *m_pool.Find(target.second), tasks);
   }
 }
 
 void JobDispatcher::SendStarts(OpenJob& job,
                                uint32_t step,
-                               WorkerSeat& seat,
+                               WorkerSeat& worker,
                                const std::vector<OpenTask*>& tasks) {
   job.possibly_started += static_cast<uint32_t>(tasks.size());
   job.first_sent_at = std::min(job.first_sent_at, m_now.mono);
   StartRuns start;
-  start.sent_at_ms = seat.clock.Estimate(m_now.mono).value_or(0);
-  start.sequence = seat.last_sequence;
-  start.worker = seat.status.worker;
+  start.sent_at_ms = worker.clock.Estimate(m_now.mono).value_or(0);
+  start.sequence = worker.last_sequence;
+  start.worker = worker.status.worker;
   start.attempt = job.order;
   start.job = job.job.id;
   start.spec = job.job.spec;
@@ -221,16 +223,17 @@
   start.urgency = m_policy.urgent_entries_first ? job.Urgency() : 0;
   for (const OpenTask* task : tasks) {
     start.runs.push_back(
-        {task->index, task->run, SuspectMs(task->lost, m_worker_losses)});
+        {task->index, task->run, SuspectMs(task->lost_runs, m_worker_losses)});
   }
   m_counters.Add(RunCounter::kRunsStarted, tasks.size());
-  SendTo(seat, std::move(start));
+  SendTo(worker, std::move(start));
 }
 
-// ---- Ends
+// ---- Ending
 // -------------------------------------------------------------------------
 
-JobAnswer JobDispatcher::GiveUp(const OpenJob& job, std::string_view reason) {
+JobAnswer JobDispatcher::AbandonedAnswer(const OpenJob& job,
+                                         std::string_view reason) {
   if (job.possibly_started > 0) {
     return {JobVerdict::kMayHaveRun, std::string(reason), {}};
   }
@@ -238,16 +241,16 @@
 }
 
 void JobDispatcher::StopRunsOf(OpenJob& job) {
-  std::set<std::string> told;
+  std::set<std::string> notified;
   for (OpenTask& task : job.tasks) {
     if (task.state != OpenTask::State::kRunning &&
         task.state != OpenTask::State::kStopping) {
       continue;
     }
-    WorkerSeat& seat = *m_pool.Find(task.agent);
-    seat.runs -= std::min(seat.runs, 1u);
-    if (told.insert(task.agent).second && !seat.Suspect(m_now.mono)) {
-      SendTo(seat, StopRuns{.job = job.job.id, .step = 0, .runs = {}});
+    WorkerSeat& worker = *m_pool.Find(task.agent);
+    worker.runs -= std::min(worker.runs, 1u);
+    if (notified.insert(task.agent).second && !worker.Suspect(m_now.mono)) {
+      SendTo(worker, StopRuns{.job = job.job.id, .step = 0, .runs = {}});
     }
   }
 }
@@ -259,9 +262,10 @@
   m_counters.Add(answer.verdict == JobVerdict::kCompleted
                      ? RunCounter::kJobsCompleted
                      : RunCounter::kJobsFailed);
-  std::vector<NoteField> fields = NotesOfEnd(*job, answer, m_now.mono);
+  std::vector<NoteField> fields = JobEndLogFields(*job, answer, m_now.mono);
   if (answer.verdict == JobVerdict::kNotRun) {
-    AppendNotes(m_pool.ViewOf(job->queue.service, m_now.mono), fields);
+    AppendCapacityLogFields(m_pool.ViewOf(job->queue.service, m_now.mono),
+                            fields);
   }
   if (answer.verdict == JobVerdict::kCompleted) {
     LogRoutine("job completed", std::move(fields));
@@ -278,25 +282,25 @@
   m_actions.push_back(AnswerJob{call, std::move(answer)});
 }
 
-void JobDispatcher::SendTo(WorkerSeat& seat, RunMessageBody body) {
-  seat.last_sent = m_now.mono;
+void JobDispatcher::SendTo(WorkerSeat& worker, RunMessageBody body) {
+  worker.last_sent = m_now.mono;
   m_actions.push_back(
-      SendRunMessage{seat.agent, seat.incarnation, std::move(body)});
+      SendRunMessage{worker.agent, worker.incarnation, std::move(body)});
 }
 
 absl::Duration JobDispatcher::RetryAfter(absl::Duration wait) {
-  const double share = std::uniform_real_distribution<double>(0, 1)(m_random);
-  return ComeBackAfter(wait, share);
+  const double jitter = std::uniform_real_distribution<double>(0, 1)(m_random);
+  return SuggestedRetryDelay(wait, jitter);
 }
 
-void JobDispatcher::LogRoutine(std::string_view what,
+void JobDispatcher::LogRoutine(std::string_view event,
                                std::vector<NoteField> fields) {
   m_actions.push_back(
-      NoteStateChange{std::string(what), std::move(fields), true});
+      NoteStateChange{std::string(event), std::move(fields), true});
 }
 
-void JobDispatcher::Log(std::string_view what, std::vector<NoteField> fields) {
-  m_actions.push_back(NoteStateChange{std::string(what), std::move(fields)});
+void JobDispatcher::Log(std::string_view event, std::vector<NoteField> fields) {
+  m_actions.push_back(NoteStateChange{std::string(event), std::move(fields)});
 }
 
 }  // namespace egretswitch::internal
--- a/src/job_dispatcher.h
+++ b/src/job_dispatcher.h
@@ -1,14 +1,14 @@
-// An entry's decisions about the jobs that reached it: where and when their
-// tasks run, what is tried again, and what the caller is told. No I/O; the
-// shell carries out the actions.
+// The job state machine of an entry: decides where and when tasks run, which
+// tasks are retried and how each job is answered. It does no I/O; the daemon
+// around it performs the actions that it returns.
 //
 //   JobArrived{5c0e, 4 tasks}             -> SendRunMessage{agent-3, StartRuns}
-//   PeerSaid{agent-3, RunReports{done}}   -> AnswerJob{kCompleted}
+//   PeerMessageReceived{agent-3, RunReports{done}}   -> AnswerJob{kCompleted}
 //   CallerLeft                            -> SendRunMessage{agent-3, StopRuns}
 //
-// A job belongs to the entry that its caller reached, until it is answered or
-// the caller is gone. run_limits.h says why a later attempt at another entry
-// never runs beside it.
+// The entry that receives a job owns it until the job is answered or its caller
+// disconnects. run_limits.h explains why a later attempt at another entry never
+// runs concurrently.
 #ifndef EGRETSWITCH_SRC_JOB_DISPATCHER_H_
 #define EGRETSWITCH_SRC_JOB_DISPATCHER_H_
 
@@ -24,14 +24,14 @@
 #include "absl/container/flat_hash_map.h"
 #include "clock.h"
 #include "dispatch_policy.h"
-#include "exhausted_room.h"
+#include "exhausted_capacity.h"
 #include "open_job.h"
 #include "run_counters.h"
 #include "run_events.h"
 #include "run_renewals.h"
 #include "run_time_model.h"
 #include "start_forecast.h"
-#include "usual_patience.h"
+#include "typical_timeout.h"
 #include "waiting_jobs.h"
 #include "worker_losses.h"
 #include "worker_pool.h"
@@ -45,66 +45,66 @@
 
   JobDispatcherActions Handle(const JobDispatcherEvent& event, Now now);
 
-  // Answers every open job, for the end of the process.
-  JobDispatcherActions GiveUpAll(Now now);
+  // Stops and answers every open job when the process shuts down.
+  JobDispatcherActions AbandonAllJobs(Now now);
 
-  // When TimePassed is next due; infinite: nothing waits for time to pass.
+  // When TimePassed is next due.
   MonoTime NextWake() const;
 
   size_t open_jobs() const { return m_jobs.size(); }
-  // Open jobs of the queue of which nothing has been sent to a worker.
-  uint64_t JobsNotBegun(std::string_view queue) const;
+  // Open jobs of the queue that have sent no run to any worker.
+  uint64_t JobsNotStarted(std::string_view queue) const;
   const RunCounters& counters() const { return m_counters; }
   const WorkerPool& pool() const { return m_pool; }
 
  private:
-  // Between two looks at deadlines and stragglers while jobs are open: a tenth
-  // of the shortest latency objective.
+  // Period of the checks for deadlines and stragglers while jobs are open: a
+  // tenth of the shortest latency objective.
   static constexpr absl::Duration kCheckPeriod = absl::Milliseconds(20);
 
   void On(const JobArrived& event);
   void On(const CallerLeft& event);
-  void On(const PeerUp& event);
-  void On(const PeerDown& event);
-  void On(const PeerSaid& event);
+  void On(const PeerConnected& event);
+  void On(const PeerDisconnected& event);
+  void On(const PeerMessageReceived& event);
   void On(const EvacuationsChanged& event);
   void On(const TimePassed& event);
 
   void CorrectEstimates(OpenJob& job) const;
   void EndAfterPause();
-  void TellEvacuations(WorkerSeat& seat);
-  void AskForRunsOrderedBefore(WorkerSeat& seat);
-  void TakeReport(WorkerSeat& seat, const RunReport& report);
+  void SendEvacuations(WorkerSeat& worker);
+  void RequestEarlierRuns(WorkerSeat& worker);
+  void HandleReport(WorkerSeat& worker, const RunReport& report);
   void TaskDone(OpenJob& job,
                 OpenTask& task,
-                WorkerSeat& seat,
+                WorkerSeat& worker,
                 uint32_t run_ms);
-  void TaskFailed(OpenJob& job, OpenTask& task, WorkerSeat& seat);
+  void TaskFailed(OpenJob& job, OpenTask& task, WorkerSeat& worker);
   void TaskLostWorker(OpenJob& job,
                       OpenTask& task,
-                      WorkerSeat& seat,
+                      WorkerSeat& worker,
                       const RunReport& report);
-  void EndForLosses(OpenJob& job, const OpenTask& task, JobAnswer answer);
-  void NoteIfLost(const WorkerSeat& seat, const WorkerStatus& told);
+  void EndAfterLosses(OpenJob& job, const OpenTask& task, JobAnswer answer);
+  void RecordIfLost(const WorkerSeat& worker, const WorkerStatus& reported);
   std::string LossesText(const std::vector<LostRun>& lost) const;
   void TaskNeverStarted(OpenJob& job,
                         OpenTask& task,
-                        WorkerSeat& seat,
+                        WorkerSeat& worker,
                         RunEnd end);
   void Requeue(OpenJob& job, OpenTask& task, RunCounter reason);
-  void NoteBadRun(WorkerSeat& seat, const std::string& job);
+  void RecordBadRun(WorkerSeat& worker, const std::string& job);
 
   void Dispatch();
   void DispatchJob(OpenJob& job);
-  WorkerSeat* FindSeat(const OpenJob& job, const OpenTask& task);
+  WorkerSeat* ReserveWorker(const OpenJob& job, const OpenTask& task);
   void SendStarts(OpenJob& job,
                   uint32_t step,
-                  WorkerSeat& seat,
+                  WorkerSeat& worker,
                   const std::vector<OpenTask*>& tasks);
-  void AskForWorkersThatFit();
-  void SetReachByWork();
-  void DialSilentAgent();
-  void EndRunsOfLostAgents();
+  void RequestFittingWorkers();
+  void UpdateWorkerSubset();
+  void RedialUnresponsiveAgent();
+  void RequeueRunsOfLostAgents();
   void MoveStragglers(OpenJob& job);
   void RefuseLateJobs();
   void RefuseEvacuatedJobs();
@@ -112,31 +112,32 @@
   std::vector<RunRenewals::Due> TakeDueRenewals();
   void EndOverdueJobs();
 
-  JobAnswer GiveUp(const OpenJob& job, std::string_view reason);
+  JobAnswer AbandonedAnswer(const OpenJob& job, std::string_view reason);
   void StopRunsOf(OpenJob& job);
   void Finish(const std::string& id, JobAnswer answer);
   void Answer(CallId call, JobAnswer answer);
-  void SendTo(WorkerSeat& seat, RunMessageBody body);
+  void SendTo(WorkerSeat& worker, RunMessageBody body);
   absl::Duration RetryAfter(absl::Duration wait = absl::ZeroDuration());
-  void Log(std::string_view what, std::vector<NoteField> fields);
-  void LogRoutine(std::string_view what, std::vector<NoteField> fields);
+  void Log(std::string_view event, std::vector<NoteField> fields);
+  void LogRoutine(std::string_view event, std::vector<NoteField> fields);
 
   const DispatchPolicy m_policy;
   JobDispatcherActions m_actions;
   Now m_now;
   MonoTime m_last_handled = absl::ZeroDuration();
-  // Requests until then may have waited through a pause of this process.
+  // Requests read before this time may have been queued while the process was
+  // paused.
   MonoTime m_stale_until = absl::ZeroDuration();
   WorkerPool m_pool;
   WorkerLosses m_worker_losses;
   RunRenewals m_renewals;
-  ExhaustedRoom m_exhausted;  // in one pass over the waiting jobs
+  ExhaustedCapacity m_exhausted_capacity;  // of the current dispatch pass
   std::minstd_rand m_random;
-  // In the order of ids, so that a run is decided by its seed alone.
+  // Ordered by id, so that a simulation depends on its seed alone.
   std::map<std::string, std::unique_ptr<OpenJob>> m_jobs;
   WaitingJobs m_waiting;
   StartForecast m_forecast;
-  UsualPatience m_usual_patience;
+  TypicalTimeout m_typical_timeout;
   RunTimeModel m_run_times;
   absl::flat_hash_map<CallId, std::string> m_job_of_call;
   uint64_t m_arrivals = 0;
--- a/src/job_dispatcher_reports.cc
+++ b/src/job_dispatcher_reports.cc
@@ -1,8 +1,8 @@
-// What an entry learns from the agents: who is linked, what room there is, and
-// what became of each run.
+// Handles the messages of agents: links that come up and go down, the free
+// capacity of workers, and the outcome of each run.
 //
 //   RunReports{5c0e/0/0 kDone}    -> the last one answers the job
-//   RunReports{5c0e/0/1 kNoRoom}  -> the task waits again
+//   RunReports{5c0e/0/1 kNoRoom}  -> the task is queued again
 #include <algorithm>
 #include <set>
 #include <string>
@@ -18,13 +18,13 @@
 namespace egretswitch::internal {
 namespace {
 
-// After a worker said that it had seen a run number: far above what a former
-// attempt can have used.
+// Added to a task's run number after a worker reports that it has seen the
+// number before: far more runs than an earlier attempt can have used.
 constexpr RunNumber kRunNumberJump = 16;
 
-// After a task was kept apart from another one for the second time by the same
-// agent: there is no other worker for it now.
-constexpr absl::Duration kSuspectPause = absl::Milliseconds(20);
+// Delay before a task is placed again after the same agent refused for the
+// second time to run it beside a suspect task: no other worker is available.
+constexpr absl::Duration kSuspectRetryDelay = absl::Milliseconds(20);
 
 }  // namespace
 
@@ -40,121 +40,124 @@
   });
 }
 
-void JobDispatcher::On(const PeerUp& event) {
-  WorkerSeat& seat = m_pool.LinkUp(event.name, event.incarnation,
-                                   event.data_centre, m_now.mono);
-  seat.evacuations_told = 0;
+void JobDispatcher::On(const PeerConnected& event) {
+  WorkerSeat& worker = m_pool.LinkUp(event.name, event.incarnation,
+                                     event.data_centre, m_now.mono);
+  worker.evacuations_told = 0;
   if (m_pool.evacuations().Known()) {
-    TellEvacuations(seat);
+    SendEvacuations(worker);
   }
-  AskForRunsOrderedBefore(seat);
+  RequestEarlierRuns(worker);
 }
 
-// What was under way on the former link is lost, orders and reports alike.
-void JobDispatcher::AskForRunsOrderedBefore(WorkerSeat& seat) {
+// Starts and reports in flight on the previous link are lost, so the agent is
+// asked to report on every run that was sent to it.
+void JobDispatcher::RequestEarlierRuns(WorkerSeat& worker) {
   RenewRuns renewal;
   for (const auto& [id, job] : m_jobs) {
     for (const OpenTask& task : job->tasks) {
-      const bool ordered = task.state == OpenTask::State::kRunning ||
-                           task.state == OpenTask::State::kStopping;
-      if (ordered && task.agent == seat.agent &&
-          task.agent_incarnation == seat.incarnation) {
+      const bool sent = task.state == OpenTask::State::kRunning ||
+                        task.state == OpenTask::State::kStopping;
+      if (sent && task.agent == worker.agent &&
+          task.agent_incarnation == worker.incarnation) {
         renewal.ordered_before.push_back(
             {{id, task.step, task.index}, task.run, job->order});
       }
     }
   }
   if (!renewal.ordered_before.empty()) {
-    renewal.sent_at_ms = seat.clock.Estimate(m_now.mono).value_or(0);
-    SendTo(seat, std::move(renewal));
+    renewal.sent_at_ms = worker.clock.Estimate(m_now.mono).value_or(0);
+    SendTo(worker, std::move(renewal));
   }
 }
 
-// The agents are told as well: an entry that has not heard of it yet finds its
-// orders turned away there. A state that only reaches further, as after each
-// new configuration, is told to those whose reports show that they need it.
+// Agents get the state too, so that they refuse starts of entries that have not
+// received it yet. A state that differs only in its offset, as after each new
+// configuration, is sent only to agents whose reports show an older one.
 void JobDispatcher::On(const EvacuationsChanged& event) {
   const bool changed =
       event.state.data_centres != m_pool.evacuations().data_centres;
   m_pool.SetEvacuations(event.state);
-  for (auto& [name, seat] : m_pool.seats()) {
-    if (changed && seat.linked) {
-      TellEvacuations(seat);
+  for (auto& [name, worker] : m_pool.seats()) {
+    if (changed && worker.linked) {
+      SendEvacuations(worker);
     }
   }
 }
 
-void JobDispatcher::TellEvacuations(WorkerSeat& seat) {
-  seat.evacuations_told = m_pool.evacuations().through;
-  SendTo(seat, m_pool.evacuations());
+void JobDispatcher::SendEvacuations(WorkerSeat& worker) {
+  worker.evacuations_told = m_pool.evacuations().through;
+  SendTo(worker, m_pool.evacuations());
 }
 
-void JobDispatcher::On(const PeerDown& event) {
-  WorkerSeat* seat = m_pool.Find(event.name);
-  if (seat != nullptr && seat->incarnation == event.incarnation) {
-    seat->linked = false;
-    seat->unlinked_at = m_now.mono;
+void JobDispatcher::On(const PeerDisconnected& event) {
+  WorkerSeat* worker = m_pool.Find(event.name);
+  if (worker != nullptr && worker->incarnation == event.incarnation) {
+    worker->linked = false;
+    worker->unlinked_at = m_now.mono;
   }
 }
 
-void JobDispatcher::On(const PeerSaid& event) {
-  WorkerSeat* seat = m_pool.Find(event.name);
+void JobDispatcher::On(const PeerMessageReceived& event) {
+  WorkerSeat* worker = m_pool.Find(event.name);
   const auto* reports = std::get_if<RunReports>(&event.body);
-  if (seat == nullptr || reports == nullptr ||
-      seat->incarnation != event.incarnation) {
+  if (worker == nullptr || reports == nullptr ||
+      worker->incarnation != event.incarnation) {
     return;
   }
-  NoteIfLost(*seat, reports->worker);
-  m_pool.Update(*seat, *reports, m_now.mono);
-  // Another entry may have told it of an evacuation that has ended since.
+  RecordIfLost(*worker, reports->worker);
+  m_pool.Update(*worker, *reports, m_now.mono);
+  // Another entry may have sent the agent an evacuation that has ended since.
   const uint64_t through = m_pool.evacuations().through;
-  if (std::max(reports->worker.evacuations, seat->evacuations_told) < through) {
-    TellEvacuations(*seat);
+  if (std::max(reports->worker.evacuations, worker->evacuations_told) <
+      through) {
+    SendEvacuations(*worker);
   }
   for (const RunReport& report : reports->reports) {
-    TakeReport(*seat, report);
+    HandleReport(*worker, report);
   }
 }
 
-// A worker that leaves in order can't be told from one that is lost here; it
-// speaks for the tasks that others lose meanwhile.
-void JobDispatcher::NoteIfLost(const WorkerSeat& seat,
-                               const WorkerStatus& told) {
-  const WorkerStatus& former = seat.status;
-  const bool gone = !told.accepting || told.worker != former.worker;
-  if (former.accepting && gone && !seat.evacuated) {
-    m_worker_losses.Note(seat.agent, m_now.mono);
+// A worker that leaves in order can't be distinguished from a lost one here. If
+// it is counted as lost, that only favours tasks that lose their workers at
+// about the same time.
+void JobDispatcher::RecordIfLost(const WorkerSeat& worker,
+                                 const WorkerStatus& reported) {
+  const WorkerStatus& former = worker.status;
+  const bool lost = !reported.accepting || reported.worker != former.worker;
+  if (former.accepting && lost && !worker.evacuated) {
+    m_worker_losses.Note(worker.agent, m_now.mono);
   }
 }
 
-void JobDispatcher::TakeReport(WorkerSeat& seat, const RunReport& report) {
+void JobDispatcher::HandleReport(WorkerSeat& worker, const RunReport& report) {
   const auto it = m_jobs.find(report.task.job);
   if (it == m_jobs.end()) {
-    return;  // answered or given up before
+    return;  // the job has been answered or abandoned
   }
   OpenJob& job = *it->second;
   OpenTask* task = job.FindTask(report.task);
   const bool current = task != nullptr && report.attempt == job.order &&
-                       task->run == report.run && task->agent == seat.agent &&
+                       task->run == report.run && task->agent == worker.agent &&
                        (task->state == OpenTask::State::kRunning ||
                         task->state == OpenTask::State::kStopping);
   if (!current) {
     return;
   }
-  seat.runs -= std::min(seat.runs, 1u);
+  worker.runs -= std::min(worker.runs, 1u);
   if (NeverStarted(report.end)) {
-    TaskNeverStarted(job, *task, seat, report.end);
+    TaskNeverStarted(job, *task, worker, report.end);
     return;
   }
   switch (report.end) {
     case RunEnd::kDone:
-      TaskDone(job, *task, seat, report.run_ms);
+      TaskDone(job, *task, worker, report.run_ms);
       return;
     case RunEnd::kFailed:
-      TaskFailed(job, *task, seat);
+      TaskFailed(job, *task, worker);
       return;
     case RunEnd::kWorkerLost:
-      TaskLostWorker(job, *task, seat, report);
+      TaskLostWorker(job, *task, worker, report);
       return;
     default:
       Requeue(job, *task, RunCounter::kRetriesStopped);
@@ -163,14 +166,14 @@
 
 void JobDispatcher::TaskDone(OpenJob& job,
                              OpenTask& task,
-                             WorkerSeat& seat,
+                             WorkerSeat& worker,
                              uint32_t run_ms) {
   m_counters.Add(RunCounter::kRunsDone);
-  m_run_times.Observe(job.queue.name, job.callers_estimates_ms[task.step],
+  m_run_times.Observe(job.queue.name, job.caller_estimates_ms[task.step],
                       run_ms);
-  const uint32_t usual_ms =
+  const uint32_t expected_ms =
       m_policy.learn_slowness ? job.StepOf(task).estimate_ms : run_ms;
-  m_pool.RunWentWell(seat, run_ms, usual_ms);
+  m_pool.RunWentWell(worker, run_ms, expected_ms);
   task.state = OpenTask::State::kDone;
   task.run_ms = run_ms;
   ++job.done;
@@ -179,10 +182,12 @@
   }
 }
 
-void JobDispatcher::TaskFailed(OpenJob& job, OpenTask& task, WorkerSeat& seat) {
+void JobDispatcher::TaskFailed(OpenJob& job,
+                               OpenTask& task,
+                               WorkerSeat& worker) {
   m_counters.Add(RunCounter::kRunsFailed);
-  NoteBadRun(seat, job.job.id);
-  task.avoid.insert(seat.agent);
+  RecordBadRun(worker, job.job.id);
+  task.avoid.insert(worker.agent);
   if (++task.failures < job.queue.max_attempts) {
     Requeue(job, task, RunCounter::kRetriesFailed);
     return;
@@ -191,56 +196,58 @@
   Finish(std::string(job.job.id), {JobVerdict::kFailed, "task_failed", {}});
 }
 
-// Nothing is held against the worker: it was the task, or an accident, and once
-// it is back it is as good as any other.
+// A lost worker does not count towards ejection: either the task or an accident
+// caused the loss, and a restarted worker is as good as any other.
 void JobDispatcher::TaskLostWorker(OpenJob& job,
                                    OpenTask& task,
-                                   WorkerSeat& seat,
+                                   WorkerSeat& worker,
                                    const RunReport& report) {
-  m_worker_losses.Note(seat.agent, m_now.mono);
-  task.avoid.insert(seat.agent);
-  task.lost.push_back({seat.agent, m_now.mono, report.loss, report.run_ms});
-  switch (JudgeLostRuns(task.lost, m_worker_losses)) {
+  m_worker_losses.Note(worker.agent, m_now.mono);
+  task.avoid.insert(worker.agent);
+  task.lost_runs.push_back(
+      {worker.agent, m_now.mono, report.loss, report.run_ms});
+  switch (JudgeLostRuns(task.lost_runs, m_worker_losses)) {
     case LossVerdict::kTryAgain:
       Requeue(job, task, RunCounter::kRetriesWorkerLost);
       return;
     case LossVerdict::kCrashesWorkers:
       m_counters.Add(RunCounter::kJobsCrashWorkers);
-      EndForLosses(job, task, {JobVerdict::kFailed, "crashes_workers", {}});
+      EndAfterLosses(job, task, {JobVerdict::kFailed, "crashes_workers", {}});
       return;
     case LossVerdict::kTooManyLosses:
       m_counters.Add(RunCounter::kJobsWorkersLost);
-      EndForLosses(job, task, GiveUp(job, "workers_lost"));
+      EndAfterLosses(job, task, AbandonedAnswer(job, "workers_lost"));
       return;
   }
 }
 
-void JobDispatcher::EndForLosses(OpenJob& job,
-                                 const OpenTask& task,
-                                 JobAnswer answer) {
-  Log("task given up after losses",
+void JobDispatcher::EndAfterLosses(OpenJob& job,
+                                   const OpenTask& task,
+                                   JobAnswer answer) {
+  Log("task abandoned after worker losses",
       {{"job", job.job.id},
        {"task", absl::StrCat(task.step, "/", task.index)},
        {"reason", answer.reason},
-       {"lost", LossesText(task.lost)}});
+       {"lost", LossesText(task.lost_runs)}});
   StopRunsOf(job);
   Finish(std::string(job.job.id), std::move(answer));
 }
 
 void JobDispatcher::TaskNeverStarted(OpenJob& job,
                                      OpenTask& task,
-                                     WorkerSeat& seat,
+                                     WorkerSeat& worker,
                                      RunEnd end) {
   --job.possibly_started;
   if (end == RunEnd::kOldNumber) {
     task.run += kRunNumberJump;
   }
   if (end == RunEnd::kRefused) {
-    NoteBadRun(seat, job.job.id);
-    task.avoid.insert(seat.agent);
+    RecordBadRun(worker, job.job.id);
+    task.avoid.insert(worker.agent);
   }
-  if (end == RunEnd::kSuspectBeside && !task.avoid.insert(seat.agent).second) {
-    task.not_before = m_now.mono + kSuspectPause;
+  if (end == RunEnd::kSuspectBeside &&
+      !task.avoid.insert(worker.agent).second) {
+    task.not_before = m_now.mono + kSuspectRetryDelay;
   }
   Requeue(job, task,
           end == RunEnd::kNoRoom ? RunCounter::kRetriesNoRoom
@@ -250,7 +257,7 @@
 void JobDispatcher::Requeue(OpenJob& job, OpenTask& task, RunCounter reason) {
   m_counters.Add(reason);
   ++job.retries;
-  LogRoutine("task waits again",
+  LogRoutine("task requeued",
              {{"job", job.job.id},
               {"task", absl::StrCat(task.step, "/", task.index)},
               {"run", absl::StrCat(task.run)},
@@ -262,12 +269,12 @@
   m_waiting.Add(job);
 }
 
-void JobDispatcher::NoteBadRun(WorkerSeat& seat, const std::string& job) {
-  if (m_policy.eject_workers && m_pool.RunWentBadly(seat, job, m_now.mono)) {
+void JobDispatcher::RecordBadRun(WorkerSeat& worker, const std::string& job) {
+  if (m_policy.eject_workers && m_pool.RunWentBadly(worker, job, m_now.mono)) {
     m_counters.Add(RunCounter::kWorkersEjected);
-    Log("worker ejected", {{"agent", seat.agent},
-                           {"worker", seat.status.worker},
-                           {"bad_jobs", absl::StrCat(seat.bad_in_a_row)}});
+    Log("worker ejected", {{"agent", worker.agent},
+                           {"worker", worker.status.worker},
+                           {"bad_jobs", absl::StrCat(worker.bad_in_a_row)}});
   }
 }
 
--- a/src/job_dispatcher_time.cc
+++ b/src/job_dispatcher_time.cc
@@ -1,9 +1,8 @@
-// What an entry decides because time has passed, or because what waits has
-// changed: which runs are over, which jobs are too late to be of use, and which
-// runs had better go on elsewhere.
+// The periodic checks of an entry: ends runs on lost agents, refuses jobs that
+// would miss their latency objective and moves stragglers to other workers.
 //
-//   10 ms  job 5c0e arrives, 300 ms of work wait ahead  -> refused as busy
-//   90 ms  task 5c0e/0/3 took twice its siblings' time  -> stopped, to move
+//   10 ms  job 5c0e arrives behind 300 ms of queued work   -> refused as busy
+//   90 ms  task 5c0e/0/3 took twice as long as its siblings -> stopped, to move
 #include <algorithm>
 #include <map>
 #include <set>
@@ -21,12 +20,12 @@
 namespace egretswitch::internal {
 namespace {
 
-// Moves of one task; each throws work away.
+// How often one task may be moved: each move discards the work done so far.
 constexpr uint32_t kMaxMoves = 2;
 
-// Evacuations last for seconds or longer; callers who come back sooner only
-// find the same.
-constexpr absl::Duration kEvacuationLookAgain = absl::Seconds(1);
+// Evacuations last for seconds or longer, so an earlier retry would be refused
+// again.
+constexpr absl::Duration kEvacuationRetryDelay = absl::Seconds(1);
 
 }  // namespace
 
@@ -36,14 +35,14 @@
   }
   m_next_check = m_now.mono + kCheckPeriod;
   m_pool.DropUnlinked(m_now.mono);
-  SetReachByWork();
+  UpdateWorkerSubset();
   for (const RunRenewals::Due& due : TakeDueRenewals()) {
     SendTo(*due.seat,
            RenewRuns{due.seat->clock.Estimate(m_now.mono).value_or(0),
                      due.wanted});
   }
-  DialSilentAgent();
-  EndRunsOfLostAgents();
+  RedialUnresponsiveAgent();
+  RequeueRunsOfLostAgents();
   RefuseEvacuatedJobs();
   RefuseLateJobs();
   EndOverdueJobs();
@@ -54,7 +53,7 @@
   }
 }
 
-void JobDispatcher::SetReachByWork() {
+void JobDispatcher::UpdateWorkerSubset() {
   if (!m_policy.worker_reach) {
     SetReachToAll(m_pool);
     return;
@@ -69,16 +68,17 @@
     }
   }
   SetReach(m_pool, in_hand, m_now.mono);
-  AskForWorkersThatFit();
+  RequestFittingWorkers();
 }
 
-// A task may fit in few of the workers only, and none of these may be linked.
-void JobDispatcher::AskForWorkersThatFit() {
+// A task may fit only a few workers, of which none may be linked. Requests more
+// workers for each service whose largest waiting task fits no linked worker.
+void JobDispatcher::RequestFittingWorkers() {
   std::map<std::string, TaskNeeds> largest;
   m_waiting.ForEach([&largest](const OpenJob& job) {
-    TaskNeeds& so_far = largest[job.queue.service];
+    TaskNeeds& service_largest = largest[job.queue.service];
     for (const JobStep& step : job.job.steps) {
-      so_far = LargerOf(so_far, step.needs);
+      service_largest = LargerOf(service_largest, step.needs);
     }
   });
   for (const auto& [service, needs] : largest) {
@@ -92,33 +92,34 @@
   std::map<std::string, std::vector<RoomWanted>> demands = m_waiting.Demands();
   if (!m_policy.urgent_entries_first) {
     for (auto& [service, wanted] : demands) {
-      for (RoomWanted& like_it : wanted) {
-        like_it.urgency = 0;
+      for (RoomWanted& demand : wanted) {
+        demand.urgency = 0;
       }
     }
   }
   return m_renewals.TakeDue(m_pool, demands, m_now.mono);
 }
 
-// A connection whose bytes vanish looks like a slow agent, and TCP takes
-// seconds to tell them apart. One dial in each check: when many links die
-// together they are not all dialled at once.
-void JobDispatcher::DialSilentAgent() {
-  const WorkerSeat* seat = m_pool.TakeSilent(m_now.mono);
-  if (seat == nullptr) {
+// A connection that loses all bytes looks like a slow agent, and TCP needs
+// seconds to detect it. Each check redials one agent at most, so that many
+// links that fail together are not all dialled at once.
+void JobDispatcher::RedialUnresponsiveAgent() {
+  const WorkerSeat* worker = m_pool.TakeSilent(m_now.mono);
+  if (worker == nullptr) {
     return;
   }
   m_counters.Add(RunCounter::kLinksDialledAgain);
-  Log("link silent",
-      {{"peer", seat->agent},
+  Log("link unresponsive",
+      {{"peer", worker->agent},
        {"unanswered_ms", absl::StrCat(absl::ToInt64Milliseconds(
-                             m_now.mono - seat->unanswered_since))}});
-  m_actions.push_back(DialAgain{seat->agent, seat->incarnation});
+                             m_now.mono - worker->unanswered_since))}});
+  m_actions.push_back(RedialPeer{worker->agent, worker->incarnation});
 }
 
-// Runs on an agent that has been silent, or was replaced by another process,
-// for kRunCertainlyOver after this entry's last word to it are over.
-void JobDispatcher::EndRunsOfLostAgents() {
+// Requeues runs whose agent is unresponsive or was replaced by another process.
+// Such runs have certainly ended kRunCertainlyOver after the last message that
+// this entry can have sent to that incarnation of the agent.
+void JobDispatcher::RequeueRunsOfLostAgents() {
   if (!m_pool.AnyRunsInDoubt(m_now.mono)) {
     return;
   }
@@ -128,13 +129,14 @@
           task.state != OpenTask::State::kStopping) {
         continue;
       }
-      WorkerSeat& seat = *m_pool.Find(task.agent);
-      const bool replaced = seat.incarnation != task.agent_incarnation;
-      const MonoTime last_word =
-          replaced ? std::max(task.sent_at, seat.replaced_at) : seat.last_sent;
-      const bool lost = replaced || seat.Suspect(m_now.mono);
-      if (lost && m_now.mono - last_word > kRunCertainlyOver) {
-        seat.runs -= std::min(seat.runs, 1u);
+      WorkerSeat& worker = *m_pool.Find(task.agent);
+      const bool replaced = worker.incarnation != task.agent_incarnation;
+      const MonoTime last_sent =
+          replaced ? std::max(task.sent_at, worker.replaced_at)
+                   : worker.last_sent;
+      const bool lost = replaced || worker.Suspect(m_now.mono);
+      if (lost && m_now.mono - last_sent > kRunCertainlyOver) {
+        worker.runs -= std::min(worker.runs, 1u);
         Requeue(*job, task, RunCounter::kRetriesAgentLost);
       }
     }
@@ -147,10 +149,10 @@
         !IsStraggler(job, task, m_now.mono)) {
       continue;
     }
-    WorkerSeat& seat = *m_pool.Find(task.agent);
+    WorkerSeat& worker = *m_pool.Find(task.agent);
     std::set<std::string> avoid = task.avoid;
-    avoid.insert(seat.agent);
-    if (seat.Suspect(m_now.mono) ||
+    avoid.insert(worker.agent);
+    if (worker.Suspect(m_now.mono) ||
         m_pool.Pick(job.queue.service, job.StepOf(task).needs, avoid,
                     m_now.mono) == nullptr) {
       continue;
@@ -158,14 +160,14 @@
     ++task.moves;
     task.avoid = std::move(avoid);
     task.state = OpenTask::State::kStopping;
-    NoteBadRun(seat, job.job.id);
+    RecordBadRun(worker, job.job.id);
     Log("straggler stopped",
         {{"job", job.job.id},
          {"task", absl::StrCat(task.step, "/", task.index)},
-         {"agent", seat.agent},
+         {"agent", worker.agent},
          {"ran_ms",
           absl::StrCat(absl::ToInt64Milliseconds(m_now.mono - task.sent_at))}});
-    SendTo(seat, StopRuns{job.job.id, task.step, {{task.index, task.run}}});
+    SendTo(worker, StopRuns{job.job.id, task.step, {{task.index, task.run}}});
   }
 }
 
@@ -184,13 +186,14 @@
   return std::visit(Visitor{job, wait, m_now.mono}, m_policy.refusal);
 }
 
-// What will miss its objective, and of which nothing has begun, only takes room
-// from those behind it; its caller is told at once, and may go elsewhere.
+// A job that will miss its objective and has not started only takes capacity
+// from the jobs behind it. It is refused at once, so that its caller can try
+// another entry.
 void JobDispatcher::RefuseLateJobs() {
   std::vector<std::pair<std::string, JobAnswer>> refused;
   StartForecast::Pass pass = m_forecast.BeginPass(m_now.mono);
   m_waiting.ForEach([&](const OpenJob& job) {
-    const absl::Duration wait = pass.WaitOf(job);
+    const absl::Duration wait = pass.PredictedWait(job);
     if (job.possibly_started == 0 && IsLate(job, wait)) {
       pass.Drop(job);
       refused.push_back(
@@ -204,8 +207,8 @@
   }
 }
 
-// While every worker of a service is evacuated nobody knows when there will be
-// room again, so waiting is of no use.
+// While every worker of a service is evacuated, no entry can predict when there
+// will be capacity again, so the jobs are refused instead of queued.
 void JobDispatcher::RefuseEvacuatedJobs() {
   if (m_pool.evacuations().data_centres.empty()) {
     return;
@@ -219,20 +222,20 @@
   for (const std::string& id : refused) {
     m_counters.Add(RunCounter::kJobsRefusedEvacuated);
     Finish(id, {JobVerdict::kNotRun, "evacuated",
-                RetryAfter(kEvacuationLookAgain)});
+                RetryAfter(kEvacuationRetryDelay)});
   }
 }
 
 void JobDispatcher::EndOverdueJobs() {
   std::vector<std::pair<std::string, JobAnswer>> ended;
   for (auto& [id, job] : m_jobs) {
-    if (m_now.mono < job->give_up_at) {
+    if (m_now.mono < job->expires_at) {
       continue;
     }
     m_counters.Add(job->possibly_started > 0 ? RunCounter::kJobsTimedOut
                                              : RunCounter::kJobsRefusedBusy);
     StopRunsOf(*job);
-    ended.push_back({id, GiveUp(*job, "timeout")});
+    ended.push_back({id, AbandonedAnswer(*job, "timeout")});
   }
   for (auto& [id, answer] : ended) {
     Finish(id, std::move(answer));
--- a/src/job_notes.cc
+++ b/src/job_log_fields.cc
@@ -1,4 +1,4 @@
-#include "job_notes.h"
+#include "job_log_fields.h"
 
 #include <string>
 
@@ -7,9 +7,9 @@
 
 namespace egretswitch::internal {
 
-std::vector<NoteField> NotesOfEnd(const OpenJob& job,
-                                  const JobAnswer& answer,
-                                  MonoTime now) {
+std::vector<NoteField> JobEndLogFields(const OpenJob& job,
+                                       const JobAnswer& answer,
+                                       MonoTime now) {
   const bool sent = job.first_sent_at < absl::InfiniteDuration();
   return {
       {"job", job.job.id},
@@ -17,7 +17,7 @@
       {"verdict", std::string(JobVerdictName(answer.verdict))},
       {"reason", answer.reason},
       {"took_ms", MillisecondsText(now - job.arrived_at)},
-      {"patience_ms", MillisecondsText(job.patience)},
+      {"patience_ms", MillisecondsText(job.caller_timeout)},
       {"timeout_ms", absl::StrCat(job.queue.timeout_ms)},
       {"objective_ms", MillisecondsText(job.Objective())},
       {"sent_after_ms",
@@ -28,7 +28,8 @@
       {"retries", absl::StrCat(job.retries)}};
 }
 
-void AppendNotes(const WorkerPool::View& view, std::vector<NoteField>& fields) {
+void AppendCapacityLogFields(const WorkerPool::View& view,
+                             std::vector<NoteField>& fields) {
   fields.push_back({"workers", absl::StrCat(view.workers)});
   fields.push_back({"accepting", absl::StrCat(view.accepting)});
   fields.push_back({"evacuated", absl::StrCat(view.evacuated)});
--- a/src/link_hub.cc
+++ b/src/link_hub.cc
@@ -172,7 +172,7 @@
   }
 }
 
-void LinkHub::DialAgain(std::string_view peer, uint64_t incarnation) {
+void LinkHub::RedialPeer(std::string_view peer, uint64_t incarnation) {
   const auto up = m_up.find(peer);
   Target* const target = FindTarget(peer);
   if (up == m_up.end() || target == nullptr ||
--- a/src/link_hub.h
+++ b/src/link_hub.h
@@ -87,7 +87,7 @@
   // Dials a target whose link, to this incarnation, may be dead. The new link
   // replaces the old one once the peer has answered on it; until then the old
   // one is used. Does nothing while such a dial is under way.
-  void DialAgain(std::string_view peer, uint64_t incarnation);
+  void RedialPeer(std::string_view peer, uint64_t incarnation);
 
   // Ends the hub's work for good: no further event, no listening or dialling,
   // and every link is closed after sending what its socket takes at once.
--- a/src/open_job.cc
+++ b/src/open_job.cc
@@ -6,7 +6,7 @@
 namespace egretswitch::internal {
 namespace {
 
-constexpr uint32_t kLastUrgency = std::numeric_limits<uint32_t>::max();
+constexpr uint32_t kLowestUrgency = std::numeric_limits<uint32_t>::max();
 
 }  // namespace
 
@@ -23,7 +23,7 @@
 }
 
 uint32_t OpenJob::Urgency() const {
-  return goes_last ? kLastUrgency : queue.priority;
+  return deprioritised ? kLowestUrgency : queue.priority;
 }
 
 absl::Duration OpenJob::LongestEstimate() const {
@@ -46,10 +46,10 @@
   open.calls = {arrival.call};
   open.order = order;
   open.arrived_at = now;
-  open.patience = arrival.patience;
-  open.give_up_at = now - arrival.waited +
-                    (arrival.patience < absl::InfiniteDuration()
-                         ? arrival.patience
+  open.caller_timeout = arrival.caller_timeout;
+  open.expires_at = now - arrival.waited +
+                    (arrival.caller_timeout < absl::InfiniteDuration()
+                         ? arrival.caller_timeout
                          : absl::Milliseconds(arrival.queue.timeout_ms));
   for (uint32_t step = 0; step < arrival.job.steps.size(); ++step) {
     for (uint32_t i = 0; i < arrival.job.steps[step].task_count; ++i) {
--- a/src/open_job.h
+++ b/src/open_job.h
@@ -1,4 +1,4 @@
-// A job that an entry has taken and not answered yet.
+// A job that an entry has accepted and not answered yet, with its tasks.
 #ifndef EGRETSWITCH_SRC_OPEN_JOB_H_
 #define EGRETSWITCH_SRC_OPEN_JOB_H_
 
@@ -19,7 +19,7 @@
   enum class State : uint8_t {
     kWaiting,   // for a worker
     kRunning,   // sent to an agent
-    kStopping,  // to run elsewhere, once its end is known
+    kStopping,  // moves to another worker once the end of its run is reported
     kDone,
   };
 
@@ -27,49 +27,51 @@
   uint32_t index = 0;
   State state = State::kWaiting;
   RunNumber run = 0;  // the latest one
-  std::string agent;  // where it runs
+  std::string agent;  // that runs it
   uint64_t agent_incarnation = 0;
   MonoTime sent_at = absl::ZeroDuration();
-  uint32_t run_ms = 0;  // of the run that was done
+  uint32_t run_ms = 0;  // of the completed run
   uint32_t failures = 0;
-  uint32_t moves = 0;           // runs given up because they took too long
-  std::set<std::string> avoid;  // agents where it went badly
-  std::vector<LostRun> lost;    // with the workers that ran it
-  MonoTime not_before = absl::ZeroDuration();  // the next try to place it
+  uint32_t moves = 0;           // runs stopped because they took too long
+  std::set<std::string> avoid;  // agents where it failed, hung or was refused
+  std::vector<LostRun> lost_runs;  // runs that ended with the loss of a worker
+  // The earliest time to place it again.
+  MonoTime not_before = absl::ZeroDuration();
 };
 
 struct OpenJob {
-  StepJob job;  // its estimates are corrected by what was seen of the queue
-  std::vector<uint32_t> callers_estimates_ms;  // of each step
-  JobQueue queue;                              // as of the job's arrival
+  StepJob job;  // with estimates corrected by the run times of the queue
+  std::vector<uint32_t> caller_estimates_ms;  // of each step
+  JobQueue queue;  // as configured when the job arrived
   std::vector<CallId> calls;
-  uint64_t order = 0;  // of arrival, in this process
+  uint64_t order = 0;  // sequence number of the arrival in this process
   MonoTime arrived_at = absl::ZeroDuration();
-  absl::Duration patience;  // of the caller that came first
-  bool goes_last = false;   // its caller had no answer to an earlier attempt
-  MonoTime give_up_at = absl::ZeroDuration();
+  absl::Duration caller_timeout;  // of the first caller
+  bool deprioritised = false;  // a repeat of an attempt that was not answered
+  MonoTime expires_at = absl::ZeroDuration();
   std::vector<OpenTask> tasks;
   uint32_t waiting = 0;
   uint32_t done = 0;
   uint32_t retries = 0;
-  uint32_t possibly_started = 0;  // runs sent, but for those that did nothing
-  // Infinite: nothing was sent to a worker yet.
+  uint32_t possibly_started = 0;  // runs sent, except those that never started
+  // Infinite until the first run is sent to an agent.
   MonoTime first_sent_at = absl::InfiniteDuration();
 
-  // Which tasks the vector holds, in the order of their names.
+  // Null if the job has no such task. `tasks` is ordered by step and index.
   OpenTask* FindTask(const TaskRef& task);
   const JobStep& StepOf(const OpenTask& task) const {
     return job.steps[task.step];
   }
-  // The most urgent gets room first: the priority of its queue, 0 first.
+  // The priority of the queue; 0 is the most urgent. Deprioritised jobs come
+  // after all others.
   uint32_t Urgency() const;
-  // The caller's guess of its longest task.
+  // The estimate of the longest task.
   absl::Duration LongestEstimate() const;
-  // The latency objective by that guess.
+  // The latency objective that follows from that estimate.
   absl::Duration Objective() const;
 };
 
-// A job whose tasks all wait.
+// Returns a job whose tasks all wait.
 OpenJob MakeOpenJob(const JobArrived& arrival, uint64_t order, MonoTime now);
 
 }  // namespace egretswitch::internal
--- a/src/run_counters.h
+++ b/src/run_counters.h
@@ -12,29 +12,29 @@
 
 namespace egretswitch::internal {
 
-// Add new ones before kCount and name them in run_counters.cc.
+// New counters go before kCount and get a name in run_counters.cc.
 enum class RunCounter : uint8_t {
   kRunsStarted = 0,  // start calls, or starts sent to an agent
   kRunsDone,
   kRunsFailed,
   kRunsStopped,
-  kRunsWorkerLost,  // their worker crashed or fell silent
+  kRunsWorkerLost,  // their worker crashed or became unresponsive
   kRefusedNoRoom,
   kRefusedLeaving,
   kRefusedStale,
   kRefusedOldNumber,
   kRefusedByWorker,
   kRefusedEvacuated,
-  kRefusedUnreachable,  // there was no connection to the worker
-  kRefusedSuspect,      // beside another task that may crash workers
+  kRefusedUnreachable,  // no connection to the worker
+  kRefusedSuspect,      // while another task that may crash workers was running
   kStartsUnknown,       // start calls without an answer
-  kStartsRepeated,      // start calls beside one without an answer
+  kStartsRepeated,      // start calls repeated while one is unanswered
   kStoppedEntrySilent,
   kStoppedEntryReplaced,
   kRunsToldAgain,
   kLinksDialledAgain,
   kStoppedByEntry,
-  kStoppedStranger,  // runs that no entry answers for
+  kStoppedStranger,  // runs on the worker that belong to no entry
   kWorkersAdopted,
   kWorkersLost,
   kJobsTaken,
@@ -45,17 +45,17 @@
   kJobsRefusedDraining,
   kJobsRefusedAfterPause,
   kJobsRefusedNoConfig,
-  kJobsRefusedUnconfirmed,  // no such queue, as far as is known
+  kJobsRefusedUnconfirmed,  // unknown queue in an unconfirmed configuration
   kJobsRefusedEvacuated,    // every worker is in an evacuated data centre
   kJobsNoQueue,
   kJobsInvalid,
   kJobsTimedOut,
   kJobsCallerLeft,
-  kJobsLeftBeforeTaken,  // their callers left before a run was ordered
+  kJobsLeftBeforeTaken,  // their callers disconnected before a run was sent
   kJobsJoined,
   kJobsEndedByPause,
-  kJobsCrashWorkers,  // given up: workers crashed under one of their tasks
-  kJobsWorkersLost,   // given up: worker after worker was lost under a task
+  kJobsCrashWorkers,  // abandoned: one of their tasks crashes workers
+  kJobsWorkersLost,   // abandoned: too many workers were lost under one task
   kRetriesNoRoom,
   kRetriesNeverStarted,
   kRetriesStopped,
@@ -64,11 +64,11 @@
   kRetriesAgentLost,
   kWorkersEjected,
   kConfigVersions,
-  kEvacuationsBegun,  // as far as this process has learnt of them
+  kEvacuationsBegun,  // as read by this process
   kEvacuationsEnded,
   kStoreFailures,
-  kRecordsUnreadable,  // of the store; another writer wrote them
-  kReportsUnreadable,  // of a worker, or in its name
+  kRecordsUnreadable,  // in the store, written by another program
+  kReportsUnreadable,  // from a worker, or in its name
   kCount
 };
 
--- a/src/run_events.h
+++ b/src/run_events.h
@@ -1,9 +1,9 @@
-// What happens to the decisions about runs, on the agent's side (RunKeeper) and
-// on the entry's (JobDispatcher), and what they ask for: their whole interface
-// to the world.
+// Events and actions of the two state machines that manage runs: RunKeeper in
+// the agent and JobDispatcher in the entry. They have no other inputs or
+// outputs.
 //
-//   EntrySaid{entry-1, StartRuns{...}}  ->  [StartCall{...}]
-//   StartAnswered{key, kNoRoom}         ->  [SendRunMessage{entry-1, ...}]
+//   PeerMessageReceived{entry-1, 7, StartRuns{...}}  ->  [StartCall{...}]
+//   StartAnswered{key, kNoRoom}  ->  [SendRunMessage{entry-1, ...}]
 #ifndef EGRETSWITCH_SRC_RUN_EVENTS_H_
 #define EGRETSWITCH_SRC_RUN_EVENTS_H_
 
@@ -25,44 +25,44 @@
 
 // ---- Shared -----------------------------------------------------------------
 
-struct PeerUp {
+struct PeerConnected {
   std::string name;
   uint64_t incarnation = 0;
   std::string data_centre = {};
 };
 
-struct PeerDown {
+struct PeerDisconnected {
   std::string name;
   uint64_t incarnation = 0;
 };
 
-struct PeerSaid {
+struct PeerMessageReceived {
   std::string name;
   uint64_t incarnation = 0;
   RunMessageBody body;
 };
 
-// Time passes; see NextWake() of each side.
+// A timer fired; see NextWake() of each state machine.
 struct TimePassed {};
 
-// SIGTERM: take nothing new, finish what is in hand.
+// The process received SIGTERM: it refuses new work and finishes what is open.
 struct DrainBegan {};
 
-// Meant for this one process: dropped when the link is to another of its name.
+// Sends a message to one incarnation of a peer; dropped if the link now leads
+// to another process of that name.
 struct SendRunMessage {
   std::string peer;
   uint64_t incarnation = 0;
   RunMessageBody body;
 };
 
-// ---- The agent's side
-// ---------------------------------------------------------
+// ---- Agent ------------------------------------------------------------------
 
 struct WorkerAnnounced {
   WorkerAnnouncement announcement;
 };
 
-// The worker ends; nothing runs there any more.
+// The worker has shut down; it runs nothing any more.
 struct WorkerWithdrew {
   std::string worker_id;
 };
@@ -83,9 +83,9 @@
   LookAnswer answer;
 };
 
-using RunKeeperEvent = std::variant<PeerUp,
-                                    PeerDown,
-                                    PeerSaid,
+using RunKeeperEvent = std::variant<PeerConnected,
+                                    PeerDisconnected,
+                                    PeerMessageReceived,
                                     TimePassed,
                                     DrainBegan,
                                     WorkerAnnounced,
@@ -98,36 +98,36 @@
     variant<SendRunMessage, StartCall, StopCall, LookCall, NoteStateChange>;
 using RunKeeperActions = std::vector<RunKeeperAction>;
 
-// ---- The entry's side
-// ---------------------------------------------------------
+// ---- Entry ------------------------------------------------------------------
 
-// Names one call of a caller within this process.
+// Identifies one call of a caller within this process.
 using CallId = uint64_t;
 
 struct JobArrived {
   CallId call = 0;
   StepJob job;
-  JobQueue queue;           // as of the job's arrival
-  absl::Duration patience;  // how long the caller waits in all
-  // Since its request was whole: a part of the caller's patience.
+  JobQueue queue;                 // as configured when the job arrived
+  absl::Duration caller_timeout;  // how long the caller waits in total
+  // Time since the request was received completely; counts towards
+  // caller_timeout.
   absl::Duration waited = absl::ZeroDuration();
 };
 
-// The caller no longer waits for the answer.
+// The caller disconnected without waiting for the answer.
 struct CallerLeft {
   CallId call = 0;
 };
 
-// The operators evacuate a data centre or take one back.
+// The operators evacuated a data centre or ended an evacuation.
 struct EvacuationsChanged {
   Evacuations state;
 };
 
 enum class JobVerdict : uint8_t {
-  kCompleted = 0,  // every task ended well
-  kFailed,         // a task failed for good
-  kNotRun,         // refused; nothing of it ran or ever will
-  kMayHaveRun,     // given up; tasks of it ran, none does any more
+  kCompleted = 0,  // every task succeeded
+  kFailed,         // a task failed permanently
+  kNotRun,         // refused; no task has run or will run
+  kMayHaveRun,     // abandoned; tasks may have run, none is running any more
 };
 
 std::string_view JobVerdictName(JobVerdict verdict);
@@ -135,7 +135,7 @@
 struct JobAnswer {
   JobVerdict verdict = JobVerdict::kNotRun;
   std::string reason;  // empty when completed
-  // When to come back; only with kNotRun.
+  // Delay before the caller should retry; only with kNotRun.
   absl::Duration retry_after = absl::ZeroDuration();
 };
 
@@ -146,21 +146,21 @@
 
 using JobDispatcherEvent = std::variant<JobArrived,
                                         CallerLeft,
-                                        PeerUp,
-                                        PeerDown,
-                                        PeerSaid,
+                                        PeerConnected,
+                                        PeerDisconnected,
+                                        PeerMessageReceived,
                                         EvacuationsChanged,
                                         TimePassed>;
 
-// The link to this process may be dead: another one is to take its place. Until
-// it is up, the old one stays as it is.
-struct DialAgain {
+// Opens a new link to a peer whose current link may be dead. The current link
+// stays in use until the new one is up.
+struct RedialPeer {
   std::string peer;
   uint64_t incarnation = 0;
 };
 
 using JobDispatcherAction =
-    std::variant<AnswerJob, SendRunMessage, DialAgain, NoteStateChange>;
+    std::variant<AnswerJob, SendRunMessage, RedialPeer, NoteStateChange>;
 using JobDispatcherActions = std::vector<JobDispatcherAction>;
 
 }  // namespace egretswitch::internal
--- a/src/run_keeper.cc
+++ b/src/run_keeper.cc
@@ -47,7 +47,7 @@
 // ---- Entries
 // ------------------------------------------------------------------
 
-void RunKeeper::On(const PeerUp& event) {
+void RunKeeper::On(const PeerConnected& event) {
   if (!m_entries.LinkUp(event.name, event.incarnation)) {
     return;
   }
@@ -59,7 +59,7 @@
   }
 }
 
-void RunKeeper::On(const PeerDown& event) {
+void RunKeeper::On(const PeerDisconnected& event) {
   if (!m_entries.LinkDown(event.name, event.incarnation)) {
     return;
   }
@@ -72,7 +72,7 @@
   }
 }
 
-void RunKeeper::On(const PeerSaid& event) {
+void RunKeeper::On(const PeerMessageReceived& event) {
   if (!m_entries.Knows(event.name, event.incarnation)) {
     return;
   }
--- a/src/run_keeper.h
+++ b/src/run_keeper.h
@@ -1,7 +1,7 @@
 // An agent's decisions: which runs its worker starts, keeps and stops, and what
 // the entries are told of it. No I/O; the shell carries out the actions.
 //
-//   PeerSaid{entry-1, StartRuns{...}}     -> StartCall
+//   PeerMessageReceived{entry-1, StartRuns{...}}     -> StartCall
 //   LookAnswered{ended: run done}         -> SendRunMessage{entry-1,
 //   RunReports} nothing of entry-1 for kEntrySilence  -> StopCall
 #ifndef EGRETSWITCH_SRC_RUN_KEEPER_H_
@@ -51,9 +51,9 @@
  private:
   using Runs = std::map<RunKey, KeptRun>;
 
-  void On(const PeerUp& event);
-  void On(const PeerDown& event);
-  void On(const PeerSaid& event);
+  void On(const PeerConnected& event);
+  void On(const PeerDisconnected& event);
+  void On(const PeerMessageReceived& event);
   void On(const TimePassed& event);
   void On(const DrainBegan& event);
   void On(const WorkerAnnounced& event);
--- a/src/run_time_model.cc
+++ b/src/run_time_model.cc
@@ -1,6 +1,6 @@
-// Least squares of log run time on log estimate. Where estimates scatter as
-// much as the work does, the best guess lies half way between the estimate and
-// the queue's mean.
+// Least-squares regression of log run time on log estimate. Where estimates
+// scatter as much as the work does, the best prediction lies half way between
+// the estimate and the queue's mean.
 #include "run_time_model.h"
 
 #include <algorithm>
@@ -9,11 +9,11 @@
 namespace egretswitch::internal {
 namespace {
 
-// How much an older run counts after each newer one: some 100 runs, a second of
-// a busy queue.
+// Weight of all earlier runs after each new one: covers some 100 runs, a second
+// of a busy queue.
 constexpr double kDecay = 0.99;
-// Runs before anything is said.
-constexpr double kLeastWeight = 16;
+// Observed runs before a prediction is made.
+constexpr double kMinWeight = 16;
 
 double Log(uint32_t ms) {
   return std::log(std::max(1u, ms));
@@ -40,7 +40,7 @@
 uint32_t RunTimeModel::Expect(const std::string& queue,
                               uint32_t estimate_ms) const {
   const auto it = m_sums.find(queue);
-  if (it == m_sums.end() || it->second.weight < kLeastWeight) {
+  if (it == m_sums.end() || it->second.weight < kMinWeight) {
     return estimate_ms;
   }
   const Sums& sums = it->second;
--- a/src/run_time_model.h
+++ b/src/run_time_model.h
@@ -1,9 +1,9 @@
-// How long the tasks of a queue really run, given what their callers estimate:
+// Predicts the run time of a queue's tasks from the estimates of their callers:
 // estimates are often far off, and often by the same factor.
 //
-//   model.Observe("checks", /*estimate_ms=*/100, /*run_ms=*/150);  // many
-//   times model.Expect("checks", 100)  -> 150 model.Expect("checks", 300)  ->
-//   less than 450, if estimates scatter
+//   model.Observe("checks", /*estimate_ms=*/100, /*run_ms=*/150);  // often
+//   model.Expect("checks", 100)  -> 150
+//   model.Expect("checks", 300)  -> less than 450, if estimates scatter
 #ifndef EGRETSWITCH_SRC_RUN_TIME_MODEL_H_
 #define EGRETSWITCH_SRC_RUN_TIME_MODEL_H_
 
@@ -18,7 +18,7 @@
  public:
   void Observe(const std::string& queue, uint32_t estimate_ms, uint32_t run_ms);
 
-  // The estimate itself while too little is known.
+  // Returns the estimate itself while there are too few observations.
   uint32_t Expect(const std::string& queue, uint32_t estimate_ms) const;
 
  private:
--- a/src/start_forecast.cc
+++ b/src/start_forecast.cc
@@ -1,8 +1,8 @@
-// The rate is that of this entry: what other entries take is not in it, and
-// what they leave is. It counts only while tasks wait, when each start uses
-// room that came free; before, it would be the load and not the room. So the
-// first waits after a calm time are borne, and only a queue that stands is cut
-// short.
+// The rate is that of this entry alone: the capacity that it gets beside the
+// other entries. It is measured only while tasks wait, when each start uses
+// capacity that was just freed; otherwise it would measure the load instead of
+// the capacity. There is therefore no prediction for the first waits after an
+// idle period, and only jobs in a standing queue are refused.
 #include "start_forecast.h"
 
 #include <cmath>
@@ -10,27 +10,28 @@
 namespace egretswitch::internal {
 namespace {
 
-// How long a start counts: some tens of starts of a busy entry, and less than
-// the two seconds after which a burst is felt as an outage.
-constexpr absl::Duration kRateMemory = absl::Milliseconds(300);
-// A queue that stands for less is no overload yet: twice the time in which a
-// word of free room reaches every entry.
-constexpr absl::Duration kRateKnownAfter = absl::Milliseconds(40);
-
-// A run is counted as this many times what is expected, which is still off by
-// some 30% where a third of the workers is slower by a third. With less more
-// started jobs end late, with more they are refused for nothing.
-constexpr double kRunMargin = 1.45;
-
-// Agents give room to the most urgent task of any entry first, so what is most
-// urgent here gets it faster than this entry has got room on the whole.
-constexpr double kMostUrgentRate = 2;
-
-// A refused caller comes back after twice the wait that it was refused for,
-// when what was ahead of it is gone, and not all of them at once.
-constexpr double kComeBackWaits = 2;
-constexpr absl::Duration kComeBackSpread = absl::Milliseconds(1000);
-constexpr absl::Duration kComeBackMost = absl::Seconds(5);
+// Time constant of the decaying sum: covers some tens of starts of a busy
+// entry, and is shorter than the two seconds after which a burst is seen as an
+// outage.
+constexpr absl::Duration kRateTimeConstant = absl::Milliseconds(300);
+// A queue that has been standing for less is not an overload yet: twice the
+// time in which an update about free capacity reaches every entry.
+constexpr absl::Duration kMinQueueAge = absl::Milliseconds(40);
+
+// Safety factor on the predicted run time, which is still off by some 30% where
+// a third of the workers is slower by a third. With a lower factor more started
+// jobs end late, with a higher one jobs are refused needlessly.
+constexpr double kRunTimeMargin = 1.45;
+
+// Agents serve the most urgent task of any entry first, so the most urgent jobs
+// of this entry get capacity faster than the entry does on average.
+constexpr double kMostUrgentRateFactor = 2;
+
+// A refused caller retries after twice the predicted wait, when the work ahead
+// of it is done, plus a jitter so that callers don't retry all at once.
+constexpr double kRetryWaitFactor = 2;
+constexpr absl::Duration kRetryJitter = absl::Milliseconds(1000);
+constexpr absl::Duration kMaxRetryDelay = absl::Seconds(5);
 
 double WaitingMillicores(const OpenJob& job) {
   double millicores = 0;
@@ -44,9 +45,9 @@
 
 }  // namespace
 
-void StartForecast::NotePlaced(const std::string& service,
-                               uint32_t millicores,
-                               MonoTime now) {
+void StartForecast::RecordPlacement(const std::string& service,
+                                    uint32_t millicores,
+                                    MonoTime now) {
   const auto it = m_placed.find(service);
   if (it != m_placed.end()) {
     it->second.millicores = DecayedTo(it->second, now) + millicores;
@@ -65,27 +66,27 @@
 
 double StartForecast::DecayedTo(const Placed& placed, MonoTime now) {
   return placed.millicores *
-         std::exp(-absl::FDivDuration(now - placed.at, kRateMemory));
+         std::exp(-absl::FDivDuration(now - placed.at, kRateTimeConstant));
 }
 
 double StartForecast::RateOf(const std::string& service, MonoTime now) const {
   const auto it = m_placed.find(service);
-  if (it == m_placed.end() || now - it->second.since < kRateKnownAfter) {
+  if (it == m_placed.end() || now - it->second.since < kMinQueueAge) {
     return 0;
   }
-  const double remembered =
-      1 - std::exp(-absl::FDivDuration(now - it->second.since, kRateMemory));
+  const double covered = 1 - std::exp(-absl::FDivDuration(
+                                 now - it->second.since, kRateTimeConstant));
   return DecayedTo(it->second, now) /
-         (remembered * absl::ToDoubleSeconds(kRateMemory));
+         (covered * absl::ToDoubleSeconds(kRateTimeConstant));
 }
 
-absl::Duration StartForecast::Pass::WaitOf(const OpenJob& job) {
+absl::Duration StartForecast::Pass::PredictedWait(const OpenJob& job) {
   Ahead& ahead = m_ahead.try_emplace(job.queue.service, Ahead{0, job.Urgency()})
                      .first->second;
   ahead.millicores += WaitingMillicores(job);
   double rate = m_forecast.RateOf(job.queue.service, m_now);
   if (job.Urgency() == ahead.most_urgent) {
-    rate *= kMostUrgentRate;
+    rate *= kMostUrgentRateFactor;
   }
   return rate == 0 ? absl::ZeroDuration()
                    : absl::Seconds(ahead.millicores / rate);
@@ -97,12 +98,13 @@
 
 bool WouldBeLate(const OpenJob& job, absl::Duration wait, MonoTime now) {
   const absl::Duration waited = now - job.arrived_at;
-  return waited + wait + kRunMargin * job.LongestEstimate() > job.Objective();
+  return waited + wait + kRunTimeMargin * job.LongestEstimate() >
+         job.Objective();
 }
 
-absl::Duration ComeBackAfter(absl::Duration wait, double share) {
-  return std::min(kComeBackMost,
-                  kComeBackWaits * wait + share * kComeBackSpread);
+absl::Duration SuggestedRetryDelay(absl::Duration wait, double jitter) {
+  return std::min(kMaxRetryDelay,
+                  kRetryWaitFactor * wait + jitter * kRetryJitter);
 }
 
 }  // namespace egretswitch::internal
--- a/src/start_forecast.h
+++ b/src/start_forecast.h
@@ -1,14 +1,15 @@
-// When the tasks of a waiting job will have started, from what waits ahead of
-// it and how fast this entry has got room lately.
+// Predicts when the tasks of a waiting job will have started, from the work
+// that is queued ahead of it and the rate at which this entry recently placed
+// tasks.
 //
-//   forecast.NotePlaced("desk", 6200, now);          // for each task started
+//   forecast.RecordPlacement("desk", 6200, now);   // for each task started
 //   StartForecast::Pass pass = forecast.BeginPass(now);
-//   pass.WaitOf(first);    -> 20 ms, if 6200 millicores come free in that time
-//   pass.WaitOf(second);   -> 40 ms: the first is ahead of it
+//   pass.PredictedWait(first);    -> 20 ms, if 6200 millicores are freed in it
+//   pass.PredictedWait(second);   -> 40 ms: the first is ahead of it
 //   forecast.EndPass(pass);
 //
-// Admission control by predicted waiting time: what would be late anyway is
-// refused when that is known, not when its time is over.
+// Used for admission control: a job that would miss its objective is refused as
+// soon as that can be predicted, not when its objective has passed.
 #ifndef EGRETSWITCH_SRC_START_FORECAST_H_
 #define EGRETSWITCH_SRC_START_FORECAST_H_
 
@@ -22,13 +23,13 @@
 
 class StartForecast {
  public:
-  // One look at all jobs that wait, in the order in which they get room.
+  // One pass over all waiting jobs, in the order in which they are dispatched.
   class Pass {
    public:
-    // Until the last task of the job that waits now has started; nothing when
-    // too little is known. The job is ahead of those asked about later.
-    absl::Duration WaitOf(const OpenJob& job);
-    // The job asked about last waits no more.
+    // The time until the last waiting task of the job has started; zero while
+    // the rate is unknown. The job counts as ahead of those passed in later.
+    absl::Duration PredictedWait(const OpenJob& job);
+    // Removes the job that was passed in last: it no longer waits.
     void Drop(const OpenJob& job);
 
    private:
@@ -40,22 +41,22 @@
     const MonoTime m_now;
     struct Ahead {
       double millicores = 0;
-      uint32_t most_urgent = 0;  // of what waits
+      uint32_t most_urgent = 0;  // urgency of the first waiting job
     };
     absl::flat_hash_map<std::string, Ahead> m_ahead;  // by service
   };
 
-  // A task was given a place on a worker of the service.
-  void NotePlaced(const std::string& service,
-                  uint32_t millicores,
-                  MonoTime now);
+  // Records that a task was placed on a worker of the service.
+  void RecordPlacement(const std::string& service,
+                       uint32_t millicores,
+                       MonoTime now);
 
   Pass BeginPass(MonoTime now) const { return Pass(*this, now); }
-  // Every waiting job was asked about.
+  // Ends a pass in which every waiting job was passed to PredictedWait().
   void EndPass(const Pass& pass);
 
  private:
-  // What was placed since tasks of a service began to wait: a sum that decays.
+  // Capacity placed since tasks of a service began to wait, as a decaying sum.
   struct Placed {
     MonoTime since = absl::ZeroDuration();
     double millicores = 0;
@@ -63,18 +64,19 @@
   };
 
   static double DecayedTo(const Placed& placed, MonoTime now);
-  // Millicores a second; 0: not known.
+  // Millicores per second; 0 if unknown.
   double RateOf(const std::string& service, MonoTime now) const;
 
-  absl::flat_hash_map<std::string, Placed> m_placed;  // where tasks wait
+  // By service, only while tasks of the service wait.
+  absl::flat_hash_map<std::string, Placed> m_placed;
 };
 
 // Whether a job that starts after `wait` would miss its latency objective.
 bool WouldBeLate(const OpenJob& job, absl::Duration wait, MonoTime now);
 
-// When a caller that is refused because of such a wait had better come back.
-// `share` from 0 to 1 spreads equal ones.
-absl::Duration ComeBackAfter(absl::Duration wait, double share);
+// Returns the retry delay for a caller that is refused because of such a wait.
+// `jitter` from 0 to 1 spreads the retries of callers with equal waits.
+absl::Duration SuggestedRetryDelay(absl::Duration wait, double jitter);
 
 }  // namespace egretswitch::internal
 
--- a/src/step_agent_daemon.cc
+++ b/src/step_agent_daemon.cc
@@ -113,17 +113,17 @@
     LogStateChange({"link up",
                     {{"peer", peer.name},
                      {"incarnation", absl::StrCat(peer.incarnation)}}});
-    Deliver(PeerUp{peer.name, peer.incarnation});
+    Deliver(PeerConnected{peer.name, peer.incarnation});
   };
   events.link_down = [this](const std::string& name, uint64_t incarnation) {
     LogStateChange({"link down", {{"peer", name}}});
-    Deliver(PeerDown{name, incarnation});
+    Deliver(PeerDisconnected{name, incarnation});
   };
   events.refused = [](const std::string&, MonoTime) {};
   events.message = [this](const std::string& name, uint64_t incarnation,
                           Message message) {
     if (auto* carried = std::get_if<RunMessage>(&message)) {
-      Deliver(PeerSaid{name, incarnation, std::move(carried->body)});
+      Deliver(PeerMessageReceived{name, incarnation, std::move(carried->body)});
     }
   };
   events.link_ended = LogLinkEnded;
--- a/src/step_agent_daemon.h
+++ b/src/step_agent_daemon.h
@@ -1,7 +1,7 @@
 // The shell around a RunKeeper: links to entries, the worker beside this
 // process, the store. Everything happens on the event loop's thread.
 //
-//   link: StartRuns -> PeerSaid -> keeper -> StartCall -> worker
+//   link: StartRuns -> PeerMessageReceived -> keeper -> StartCall -> worker
 #ifndef EGRETSWITCH_SRC_STEP_AGENT_DAEMON_H_
 #define EGRETSWITCH_SRC_STEP_AGENT_DAEMON_H_
 
--- a/src/step_entry_calls.cc
+++ b/src/step_entry_calls.cc
@@ -165,7 +165,7 @@
                     {{"job", id}, {"waited_ms", MillisecondsText(waited)}}});
     return;
   }
-  if (waited >= call.patience) {
+  if (waited >= call.caller_timeout) {
     Refuse(responder, RunCounter::kJobsTimedOut, id,
            "its deadline passed while it waited");
     return;
@@ -181,7 +181,7 @@
   Deliver(JobArrived{.call = number,
                      .job = *std::move(job),
                      .queue = queue,
-                     .patience = call.patience,
+                     .caller_timeout = call.caller_timeout,
                      .waited = waited});
 }
 
@@ -207,7 +207,7 @@
     return;
   }
   responder.Answer(m_platform.callers.EncodeWaitingCount(
-      m_dispatcher.JobsNotBegun(queue.name)));
+      m_dispatcher.JobsNotStarted(queue.name)));
 }
 
 }  // namespace egretswitch::internal
--- a/src/step_entry_daemon.cc
+++ b/src/step_entry_daemon.cc
@@ -155,7 +155,7 @@
   events.link_down = [this](const std::string& name, uint64_t incarnation) {
     m_tables.EntryDown(name);
     LogStateChange({"link down", {{"peer", name}}});
-    Deliver(PeerDown{name, incarnation});
+    Deliver(PeerDisconnected{name, incarnation});
     NoteReadiness();
   };
   events.refused = [](const std::string&, MonoTime) {};
@@ -172,7 +172,7 @@
       {"link up",
        {{"peer", peer.name}, {"incarnation", absl::StrCat(peer.incarnation)}}});
   if (peer.role != ProcessRole::kEntry) {
-    Deliver(PeerUp{peer.name, peer.incarnation, peer.data_centre});
+    Deliver(PeerConnected{peer.name, peer.incarnation, peer.data_centre});
     const MemberAddress* member = m_tables.members().Find(peer.name);
     if (member != nullptr && !member->worker.incarnation.empty()) {
       m_hub.SendTo(peer.name, peer.incarnation,
@@ -195,7 +195,7 @@
   if (const auto* tables = std::get_if<TableMessage>(&carried->body)) {
     m_tables.OnMessage(name, *tables);
   } else {
-    Deliver(PeerSaid{name, incarnation, std::move(carried->body)});
+    Deliver(PeerMessageReceived{name, incarnation, std::move(carried->body)});
     NoteReadiness();
   }
 }
@@ -230,8 +230,8 @@
   m_hub.SendTo(send.peer, send.incarnation, RunMessage{send.body});
 }
 
-void StepEntryDaemon::Perform(const DialAgain& dial) {
-  m_hub.DialAgain(dial.peer, dial.incarnation);
+void StepEntryDaemon::Perform(const RedialPeer& dial) {
+  m_hub.RedialPeer(dial.peer, dial.incarnation);
 }
 
 void StepEntryDaemon::Perform(const NoteStateChange& change) {
@@ -270,7 +270,7 @@
     StopWhenQuiet();
   });
   m_loop.RunAfter(m_times.finish, [this] {
-    PerformAll(m_dispatcher.GiveUpAll(EventLoop::ReadClocks()));
+    PerformAll(m_dispatcher.AbandonAllJobs(EventLoop::ReadClocks()));
   });
 }
 
--- a/src/step_entry_daemon.h
+++ b/src/step_entry_daemon.h
@@ -118,7 +118,7 @@
   void PerformAll(const JobDispatcherActions& actions);
   void Perform(const AnswerJob& answer);
   void Perform(const SendRunMessage& send);
-  void Perform(const DialAgain& dial);
+  void Perform(const RedialPeer& dial);
   void Perform(const NoteStateChange& change);
 
   bool Ready() const;
--- a/src/step_job.h
+++ b/src/step_job.h
@@ -1,11 +1,10 @@
-// A job made of steps, as a caller hands it in, and the names of its tasks.
+// A job made of steps, as a caller submits it, and the names of its tasks.
 //
 //   StepJob{.id = "5c0e7a21d94b36f8", .spec = "(text)",
 //           .steps = {{.task_count = 4, .needs = {6200, 64, 0}}}}
 //   has the tasks 5c0e7a21d94b36f8/0/0 to 5c0e7a21d94b36f8/0/3
 //
-// A task may have several runs, one after the other; each has a number that is
-// higher than the ones before.
+// A task may have several runs, one after the other, with increasing numbers.
 #ifndef EGRETSWITCH_SRC_STEP_JOB_H_
 #define EGRETSWITCH_SRC_STEP_JOB_H_
 
@@ -34,23 +33,24 @@
   }
 };
 
-// Tasks of one step are alike.
+// A group of tasks with equal needs and the same estimate.
 struct JobStep {
   uint32_t task_count = 0;
   TaskNeeds needs;           // of each task
-  uint32_t estimate_ms = 0;  // the caller's guess of a task's run time
+  uint32_t estimate_ms = 0;  // run time of a task, estimated by the caller
   bool operator==(const JobStep&) const = default;
 };
 
 struct StepJob {
   std::string id;
-  std::string spec;  // handed to every task as it is
+  std::string spec;  // passed to every task unchanged
   std::vector<JobStep> steps;
-  // The caller waits for the end and sends the job anew when it gets none; a
-  // later attempt may run every task again, but never beside the former one.
+  // The caller waits for the answer and sends the job again if it gets none. A
+  // later attempt may run every task again, but never concurrently with an
+  // earlier one.
   bool may_run_again = false;
-  // What the job asks for that this version can't do; empty: nothing. Such a
-  // job is refused before anything of it runs.
+  // The feature that the job requests and this version does not support; empty
+  // if there is none. Such a job is refused before any of its tasks runs.
   std::string unsupported;
 };
 
--- a/src/straggler.cc
+++ b/src/straggler.cc
@@ -5,16 +5,16 @@
 namespace egretswitch::internal {
 namespace {
 
-// A task that takes this much longer than a finished one of its step stands
-// still or sits on a slow worker: tasks of a step differ by some 15%, workers
-// by a third.
+// A task that takes this much longer than a finished one of its step hangs or
+// runs on a slow worker: run times within a step differ by some 15%, worker
+// speeds by a third.
 constexpr double kStragglerFactor = 1.8;
 constexpr absl::Duration kStragglerMargin = absl::Milliseconds(60);
-// Without a finished one to compare with; the caller's estimate is rough.
+// Used while no task of the step has finished; the estimate is rough.
 constexpr double kHangFactor = 4;
 constexpr absl::Duration kHangMargin = absl::Milliseconds(150);
 
-// Of the finished tasks of the step; 0: none has finished.
+// The longest run time of the finished tasks of the step; 0 if there is none.
 uint32_t SlowestDoneMs(const OpenJob& job, uint32_t step) {
   uint32_t slowest = 0;
   for (const OpenTask& task : job.tasks) {
--- a/src/straggler.h
+++ b/src/straggler.h
@@ -1,8 +1,8 @@
-// Whether a run takes so much longer than its like that it had better run on
-// another worker.
+// Detects stragglers: runs that take so much longer than expected that they
+// should be restarted on another worker.
 //
-//   its step's slowest finished task took 60 ms   -> after 168 ms
-//   none has finished, the caller's guess is 60   -> after 390 ms
+//   the slowest finished task of the step took 60 ms  -> after 168 ms
+//   none has finished, the estimate is 60 ms          -> after 390 ms
 #ifndef EGRETSWITCH_SRC_STRAGGLER_H_
 #define EGRETSWITCH_SRC_STRAGGLER_H_
 
--- a/src/waiting_jobs.cc
+++ b/src/waiting_jobs.cc
@@ -10,7 +10,7 @@
   }
 }
 
-// Jobs stand by urgency, so equal ones follow one another.
+// Jobs are ordered by urgency, so those of equal urgency are adjacent.
 std::map<std::string, std::vector<RoomWanted>> WaitingJobs::Demands() const {
   std::map<std::string, std::vector<RoomWanted>> demands;
   for (const auto& [key, job] : m_jobs) {
@@ -23,11 +23,11 @@
       if (wanted.empty() || wanted.back().urgency != job->Urgency()) {
         wanted.push_back({job->Urgency(), needs, 0});
       }
-      RoomWanted& like_it = wanted.back();
-      if (needs.millicores < like_it.needs.millicores) {
-        like_it.needs = needs;
+      RoomWanted& demand = wanted.back();
+      if (needs.millicores < demand.needs.millicores) {
+        demand.needs = needs;
       }
-      ++like_it.tasks;
+      ++demand.tasks;
     }
   }
   return demands;
--- a/src/waiting_jobs.h
+++ b/src/waiting_jobs.h
@@ -1,8 +1,8 @@
-// An entry's jobs that have a task without a worker, in the order in which they
-// get workers: by urgency, then by arrival.
+// The queue of an entry: jobs with at least one waiting task, in the order in
+// which they are dispatched: by urgency, then by arrival.
 //
 //   waiting.Add(job);
-//   waiting.ForEach([](OpenJob& job) { ... });   // those done waiting drop out
+//   waiting.ForEach([](OpenJob& job) { ... });   // drops fully placed jobs
 //   waiting.Demands()  -> {"desk": {{urgency 0, {6200, 64, 0}, 12}}}
 #ifndef EGRETSWITCH_SRC_WAITING_JOBS_H_
 #define EGRETSWITCH_SRC_WAITING_JOBS_H_
@@ -18,7 +18,7 @@
 
 namespace egretswitch::internal {
 
-// The jobs stay their owner's, and outlive their time here.
+// Does not own the jobs; a job must be removed before it is destroyed.
 class WaitingJobs {
  public:
   void Add(OpenJob& job) { m_jobs[KeyOf(job)] = &job; }
@@ -28,7 +28,7 @@
 
   bool empty() const { return m_jobs.empty(); }
 
-  // What waits for each service, the most urgent first.
+  // The waiting tasks of each service by urgency, the most urgent first.
   std::map<std::string, std::vector<RoomWanted>> Demands() const;
 
  private:
--- a/test/job_dispatcher_fixture.h
+++ b/test/job_dispatcher_fixture.h
@@ -1,4 +1,4 @@
-// An entry's decisions with agents and callers that the test plays.
+// A job dispatcher whose agents and callers are simulated by the test.
 //
 //   AddAgent("agent-1");
 //   SentTo<StartRuns>("agent-1", Arrive(1, 4))     // one message, four runs
@@ -20,7 +20,7 @@
     return dispatcher.Handle(event, clock.now());
   }
 
-  // Time passes in steps, as the dispatcher asks for.
+  // Advances time in steps of the dispatcher's check period.
   JobDispatcherActions Pass(absl::Duration by) {
     JobDispatcherActions all;
     const absl::Duration step = absl::Milliseconds(20);
@@ -47,11 +47,12 @@
   JobDispatcherActions Report(const std::string& agent,
                               std::vector<RunReport> reports,
                               WorkerStatus status) {
-    return Do(PeerSaid{agent, 1, RunReports{clock.ms(), status, reports}});
+    return Do(
+        PeerMessageReceived{agent, 1, RunReports{clock.ms(), status, reports}});
   }
 
   JobDispatcherActions AddAgent(const std::string& agent) {
-    Do(PeerUp{agent, 1});
+    Do(PeerConnected{agent, 1});
     return Report(agent, {}, Status());
   }
 
@@ -70,7 +71,7 @@
     arrival.queue.max_attempts = 2;
     arrival.queue.stretch = 1.6;
     arrival.queue.objective_ms = 60;
-    arrival.patience = absl::Seconds(3);
+    arrival.caller_timeout = absl::Seconds(3);
     return arrival;
   }
 
--- a/test/job_dispatcher_test.cc
+++ b/test/job_dispatcher_test.cc
@@ -1,4 +1,4 @@
-// What an entry does with its callers' jobs and the reports of agents.
+// Tests how an entry handles its callers' jobs and the reports of agents.
 #include "job_dispatcher.h"
 
 #include <boost/test/unit_test.hpp>
@@ -16,7 +16,7 @@
 
 BOOST_FIXTURE_TEST_SUITE(job_dispatcher, JobDispatcherFixture)
 
-BOOST_AUTO_TEST_CASE(job_with_room_goes_to_an_agent_in_one_message) {
+BOOST_AUTO_TEST_CASE(job_is_sent_to_an_agent_with_capacity_in_one_message) {
   AddAgent("agent-1");
   const auto starts = SentTo<StartRuns>("agent-1", Arrive(1, 4));
   BOOST_REQUIRE(starts.size() == 1u);
@@ -25,35 +25,38 @@
   BOOST_TEST(starts[0].sent_at_ms <= clock.ms());
 }
 
-BOOST_AUTO_TEST_CASE(evacuation_is_told_to_each_linked_agent) {
+BOOST_AUTO_TEST_CASE(changed_evacuation_is_sent_to_each_linked_agent) {
   AddAgent("agent-1");
   const auto actions = Do(EvacuationsChanged{{7, {"south"}}});
   BOOST_TEST(SentTo<Evacuations>("agent-1", actions).size() == 1u);
 }
 
-BOOST_AUTO_TEST_CASE(state_that_only_reaches_further_is_told_to_nobody) {
+BOOST_AUTO_TEST_CASE(
+    evacuation_state_that_differs_only_in_its_offset_is_not_sent) {
   AddAgent("agent-1");
   Do(EvacuationsChanged{{7, {"south"}}});
   const auto actions = Do(EvacuationsChanged{{8, {"south"}}});
   BOOST_TEST(SentTo<Evacuations>("agent-1", actions).empty());
 }
 
-// Another entry, which lacks the taking back, has told the agent meanwhile.
-BOOST_AUTO_TEST_CASE(agent_that_reports_an_old_state_is_told_once) {
+// Another entry, which has not received the end of the evacuation, has sent its
+// older state to the agent.
+BOOST_AUTO_TEST_CASE(
+    agent_that_reports_an_old_evacuation_state_is_updated_once) {
   AddAgent("agent-1");
   Do(EvacuationsChanged{{8, {}}});
   WorkerStatus status = Status();
   status.evacuations = 7;
   const auto first = Report("agent-1", {}, status);
-  const auto told = SentTo<Evacuations>("agent-1", first);
-  BOOST_REQUIRE(told.size() == 1u);
-  BOOST_TEST(told[0].through == 8u);
+  const auto sent = SentTo<Evacuations>("agent-1", first);
+  BOOST_REQUIRE(sent.size() == 1u);
+  BOOST_TEST(sent[0].through == 8u);
   const auto second = Report("agent-1", {}, status);
   BOOST_TEST(SentTo<Evacuations>("agent-1", second).empty());
 }
 
-BOOST_AUTO_TEST_CASE(step_without_room_does_not_hold_up_the_next_one) {
-  Do(PeerUp{"agent-1", 1});
+BOOST_AUTO_TEST_CASE(step_without_capacity_does_not_block_the_next_step) {
+  Do(PeerConnected{"agent-1", 1});
   Report("agent-1", {}, Status(kSixCores));
   const JobArrived arrival =
       Arrival(1, "5c0e", {{1, kWholeWorker, 100}, {1, kSixCores, 100}});
@@ -62,28 +65,28 @@
   BOOST_TEST(starts[0].step == 1u);
 }
 
-BOOST_AUTO_TEST_CASE(job_behind_a_larger_one_without_room_is_started) {
-  Do(PeerUp{"agent-1", 1});
+BOOST_AUTO_TEST_CASE(job_behind_a_larger_one_without_capacity_is_started) {
+  Do(PeerConnected{"agent-1", 1});
   Report("agent-1", {}, Status(kSixCores));
   const JobArrived large = Arrival(1, "1a2b", {{1, kWholeWorker, 100}});
   BOOST_TEST(SentTo<StartRuns>("agent-1", Do(large)).empty());
   BOOST_TEST(SentTo<StartRuns>("agent-1", Arrive(2, 1)).size() == 1u);
 }
 
-// What waiting costs must not grow with the deployment, nor beyond what waits.
-BOOST_AUTO_TEST_CASE(
-    job_that_waits_asks_some_agents_at_a_time_and_each_in_turn) {
+// The number of messages for waiting tasks must not grow with the deployment,
+// nor exceed the number of waiting tasks.
+BOOST_AUTO_TEST_CASE(waiting_job_asks_a_few_agents_at_a_time_and_each_in_turn) {
   constexpr int kAgents = 100;
   constexpr size_t kOthers = RunRenewals::kOthersAsked;
   for (int i = 0; i < kAgents; ++i) {
     const std::string agent = "agent-" + std::to_string(i);
-    Do(PeerUp{agent, 1});
+    Do(PeerConnected{agent, 1});
     Report(agent, {}, Status({}));
   }
   std::set<std::string> asked;
   size_t most = 0;
   size_t first = 0;
-  // 8 agents are in reach; the others are asked 2 at a time.
+  // 8 agents are in the subset; the others are asked 2 at a time.
   constexpr int kPasses = (kAgents - 8) / static_cast<int>(kOthers) + 2;
   for (int i = 0; i < kPasses; ++i) {
     size_t now_asked = 0;
@@ -129,7 +132,7 @@
   BOOST_TEST(answers[1].call == 2u);
 }
 
-BOOST_AUTO_TEST_CASE(caller_gone_has_its_runs_stopped) {
+BOOST_AUTO_TEST_CASE(runs_of_a_disconnected_caller_are_stopped) {
   AddAgent("agent-1");
   Arrive(1, 1);
   const auto stops = SentTo<StopRuns>("agent-1", Do(CallerLeft{1}));
@@ -138,7 +141,7 @@
   BOOST_TEST(dispatcher.open_jobs() == 0u);
 }
 
-BOOST_AUTO_TEST_CASE(caller_gone_beside_another_leaves_the_job_running) {
+BOOST_AUTO_TEST_CASE(job_keeps_running_while_another_caller_waits) {
   AddAgent("agent-1");
   Arrive(1, 1);
   Arrive(2, 1);
@@ -146,7 +149,8 @@
   BOOST_TEST(dispatcher.open_jobs() == 1u);
 }
 
-BOOST_AUTO_TEST_CASE(task_refused_for_room_waits_and_goes_elsewhere) {
+BOOST_AUTO_TEST_CASE(
+    task_refused_for_lack_of_capacity_is_sent_to_another_agent) {
   AddAgent("agent-1");
   Arrive(1, 1);
   AddAgent("agent-2");
@@ -166,9 +170,9 @@
   BOOST_TEST(starts[0].runs[0].run > 10u);
 }
 
-// An order of the first attempt may be refused, long delayed, while the second
-// attempt has a run of the same number under way.
-BOOST_AUTO_TEST_CASE(report_of_a_former_attempt_says_nothing_of_this_one) {
+// A start of the first attempt that was long delayed may be refused while the
+// second attempt has a run of the same number.
+BOOST_AUTO_TEST_CASE(report_of_an_earlier_attempt_is_ignored) {
   AddAgent("agent-1");
   Arrive(1, 1);
   Do(CallerLeft{1});
@@ -181,7 +185,7 @@
   BOOST_TEST(answers.size() == 1u);
 }
 
-BOOST_AUTO_TEST_CASE(task_failed_as_often_as_allowed_fails_its_job) {
+BOOST_AUTO_TEST_CASE(task_that_failed_max_attempts_times_fails_its_job) {
   AddAgent("agent-1");
   Arrive(1, 2);
   const auto again = Report("agent-1", {End(0, RunEnd::kFailed)}, Status());
@@ -194,7 +198,7 @@
   BOOST_TEST(SentTo<StopRuns>("agent-1", actions).size() == 1u);
 }
 
-BOOST_AUTO_TEST_CASE(job_never_started_is_refused_as_not_run_with_a_time) {
+BOOST_AUTO_TEST_CASE(job_never_started_is_answered_not_run_with_a_retry_delay) {
   Arrive(1, 1);
   const auto answers = Answers(Pass(absl::Seconds(3)));
   BOOST_REQUIRE(answers.size() == 1u);
@@ -211,7 +215,7 @@
   BOOST_TEST((answers[0].verdict == JobVerdict::kNotRun));
 }
 
-BOOST_AUTO_TEST_CASE(job_started_and_overdue_is_never_called_not_run) {
+BOOST_AUTO_TEST_CASE(job_started_and_overdue_is_answered_may_have_run) {
   AddAgent("agent-1");
   Arrive(1, 1);
   std::vector<JobAnswer> answers;
@@ -239,50 +243,53 @@
   BOOST_TEST(renewals <= 5u);
 }
 
-// A run on a silent agent is run elsewhere only when the agent, or its worker's
-// lease, has certainly ended it.
-BOOST_AUTO_TEST_CASE(task_on_a_silent_agent_runs_elsewhere_after_its_bound) {
+// A task on an unresponsive agent is restarted only when the agent, or the
+// lease of its worker, has certainly ended the run.
+BOOST_AUTO_TEST_CASE(
+    task_on_an_unresponsive_agent_is_restarted_after_its_bound) {
   AddAgent("agent-1");
   Arrive(1, 1);
   AddAgent("agent-2");
-  absl::Duration last_word;
+  absl::Duration last_renewal;
   absl::Duration waited;
   std::vector<StartRuns> starts;
   while (starts.empty() && waited < absl::Seconds(3)) {
     const auto actions = Pass(absl::Milliseconds(20));
     waited += absl::Milliseconds(20);
     if (!SentTo<RenewRuns>("agent-1", actions).empty()) {
-      last_word = waited;
+      last_renewal = waited;
     }
     starts = SentTo<StartRuns>("agent-2", actions);
   }
   BOOST_REQUIRE(starts.size() == 1u);
-  BOOST_TEST((waited - last_word >= kRunCertainlyOver));
-  BOOST_TEST((waited - last_word < kRunCertainlyOver + absl::Milliseconds(60)));
+  BOOST_TEST((waited - last_renewal >= kRunCertainlyOver));
+  BOOST_TEST(
+      (waited - last_renewal < kRunCertainlyOver + absl::Milliseconds(60)));
 }
 
-// A link whose bytes vanish was given up only after TCP's probes, seconds
-// later.
+// A link that loses all bytes must be replaced long before TCP's probes close
+// it, seconds later.
 BOOST_AUTO_TEST_CASE(
-    agent_silent_under_runs_is_dialled_before_they_are_stopped) {
+    unresponsive_agent_is_redialled_before_its_runs_are_stopped) {
   AddAgent("agent-1");
   Arrive(1, 1);
   const absl::Duration left = kEntrySilence - kRenewPeriod;
-  const auto dials = ActionsOf<DialAgain>(Pass(left - absl::Milliseconds(80)));
+  const auto dials = ActionsOf<RedialPeer>(Pass(left - absl::Milliseconds(80)));
   BOOST_REQUIRE(dials.size() == 1u);
   BOOST_TEST(dials[0].peer == "agent-1");
   BOOST_TEST(dials[0].incarnation == 1u);
 }
 
-// Connections to a frozen process would pile up.
-BOOST_AUTO_TEST_CASE(agent_that_stays_silent_is_dialled_with_pauses) {
+// Otherwise connections to a frozen process would accumulate.
+BOOST_AUTO_TEST_CASE(redials_of_an_unresponsive_agent_are_spaced_out) {
   AddAgent("agent-1");
   Arrive(1, 1);
-  BOOST_TEST(ActionsOf<DialAgain>(Pass(absl::Milliseconds(2200))).size() == 2u);
+  BOOST_TEST(ActionsOf<RedialPeer>(Pass(absl::Milliseconds(2200))).size() ==
+             2u);
 }
 
-// Many links that die together would be dialled at one moment.
-BOOST_AUTO_TEST_CASE(agents_silent_together_are_dialled_one_after_the_other) {
+// Otherwise links that fail together would all be dialled at once.
+BOOST_AUTO_TEST_CASE(agents_unresponsive_together_are_redialled_one_by_one) {
   for (int i = 0; i < 30; ++i) {
     AddAgent("agent-" + std::to_string(i));
   }
@@ -291,20 +298,21 @@
   size_t dialled = 0;
   for (int i = 0; i < 10; ++i) {
     const size_t now =
-        ActionsOf<DialAgain>(Pass(absl::Milliseconds(20))).size();
+        ActionsOf<RedialPeer>(Pass(absl::Milliseconds(20))).size();
     BOOST_TEST(now <= 1u);
     dialled += now;
   }
   BOOST_TEST(dialled >= 8u);
 }
 
-// A run whose order or end was lost with a link would wait for ever.
-BOOST_AUTO_TEST_CASE(agent_on_a_new_link_is_asked_for_the_runs_ordered_before) {
+// Otherwise a task whose start or report was lost with a link would never end.
+BOOST_AUTO_TEST_CASE(agent_on_a_new_link_is_asked_for_the_runs_started_before) {
   AddAgent("agent-1");
   Arrive(1, 2);
   Report("agent-1", {End(0, RunEnd::kDone)}, Status());
-  Do(PeerDown{"agent-1", 1});
-  const auto asked = SentTo<RenewRuns>("agent-1", Do(PeerUp{"agent-1", 1}));
+  Do(PeerDisconnected{"agent-1", 1});
+  const auto asked =
+      SentTo<RenewRuns>("agent-1", Do(PeerConnected{"agent-1", 1}));
   BOOST_REQUIRE(asked.size() == 1u);
   BOOST_REQUIRE(asked[0].ordered_before.size() == 1u);
   BOOST_TEST(asked[0].ordered_before[0].task.index == 1u);
@@ -314,28 +322,29 @@
   BOOST_TEST(starts[0].runs[0].run == 2u);
 }
 
-// Room taken by orders that were lost with a link would never be free again.
-BOOST_AUTO_TEST_CASE(room_of_orders_lost_with_a_link_is_free_again) {
+// Otherwise capacity reserved for starts that were lost with a link would never
+// be released.
+BOOST_AUTO_TEST_CASE(capacity_of_starts_lost_with_a_link_is_released) {
   AddAgent("agent-1");
   WorkerStatus status = Status();
   status.started_through = 0;
   Report("agent-1", {}, status);
   Arrive(1, 10);
-  Do(PeerDown{"agent-1", 1});
-  Do(PeerUp{"agent-1", 1});
+  Do(PeerDisconnected{"agent-1", 1});
+  Do(PeerConnected{"agent-1", 1});
   Report("agent-1", {}, status);
   BOOST_TEST(!SentTo<StartRuns>("agent-1", Arrive(2, 10, "77aa")).empty());
 }
 
-BOOST_AUTO_TEST_CASE(agent_replaced_by_another_process_loses_its_runs_later) {
+BOOST_AUTO_TEST_CASE(runs_of_a_replaced_agent_are_restarted_after_the_bound) {
   AddAgent("agent-1");
   Arrive(1, 1);
-  Do(PeerDown{"agent-1", 1});
-  Do(PeerUp{"agent-1", 2});
+  Do(PeerDisconnected{"agent-1", 1});
+  Do(PeerConnected{"agent-1", 2});
   std::vector<StartRuns> starts;
   absl::Duration waited;
   while (starts.empty() && waited < absl::Seconds(3)) {
-    Do(PeerSaid{"agent-1", 2, RunReports{clock.ms(), Status(), {}}});
+    Do(PeerMessageReceived{"agent-1", 2, RunReports{clock.ms(), Status(), {}}});
     starts = SentTo<StartRuns>("agent-1", Pass(absl::Milliseconds(20)));
     waited += absl::Milliseconds(20);
   }
@@ -344,7 +353,7 @@
   BOOST_TEST((waited < kRunCertainlyOver + absl::Milliseconds(60)));
 }
 
-// While it stood still its callers may have gone to other entries.
+// During the pause the callers may have sent their jobs to other entries.
 BOOST_AUTO_TEST_CASE(pause_longer_than_the_limit_ends_every_job) {
   AddAgent("agent-1");
   Arrive(1, 1);
@@ -356,8 +365,8 @@
   BOOST_TEST((answers[0].verdict == JobVerdict::kMayHaveRun));
 }
 
-// A request that waited in the socket through the pause: its caller is gone,
-// and a later attempt of it may run elsewhere.
+// The request was queued in the socket during the pause: its caller may have
+// disconnected, and a later attempt may run at another entry.
 BOOST_AUTO_TEST_CASE(request_read_right_after_a_pause_is_refused_as_not_run) {
   AddAgent("agent-1");
   clock.Advance(kPauseLimit + absl::Milliseconds(1));
@@ -376,13 +385,13 @@
   BOOST_TEST(SentTo<StartRuns>("agent-1", Arrive(1, 1)).size() == 1u);
 }
 
-BOOST_AUTO_TEST_CASE(idle_dispatcher_asks_to_be_called_well_within_the_limit) {
+BOOST_AUTO_TEST_CASE(idle_dispatcher_wakes_well_within_the_pause_limit) {
   AddAgent("agent-1");
   BOOST_TEST((dispatcher.NextWake() - clock.now().mono <= kPauseLimit / 4));
 }
 
-// It has no runs there whose ends would tell of room.
-BOOST_AUTO_TEST_CASE(waiting_job_asks_agents_that_were_full_for_room) {
+// The entry has no runs at such an agent whose ends would report free capacity.
+BOOST_AUTO_TEST_CASE(waiting_job_asks_full_agents_for_capacity) {
   AddAgent("agent-1");
   Report("agent-1", {}, Status({0, 0, 0}));
   Arrive(1, 1);
@@ -395,12 +404,12 @@
       1u);
 }
 
-BOOST_AUTO_TEST_CASE(give_up_all_answers_every_job_truthfully) {
+BOOST_AUTO_TEST_CASE(shutdown_answers_every_job_with_its_verdict) {
   AddAgent("agent-1");
   Arrive(1, 1);
   Report("agent-1", {}, Status({0, 0, 0}));
   Arrive(2, 1, "other");
-  const JobDispatcherActions actions = dispatcher.GiveUpAll(clock.now());
+  const JobDispatcherActions actions = dispatcher.AbandonAllJobs(clock.now());
   for (const AnswerJob& answer : ActionsOf<AnswerJob>(actions)) {
     BOOST_TEST(
         (answer.answer.verdict ==
@@ -411,7 +420,7 @@
   BOOST_TEST(dispatcher.open_jobs() == 0u);
 }
 
-BOOST_AUTO_TEST_CASE(waiting_jobs_get_room_by_priority_then_by_arrival) {
+BOOST_AUTO_TEST_CASE(waiting_jobs_are_started_by_priority_then_by_arrival) {
   AddAgent("agent-1");
   Report("agent-1", {}, Status({0, 0, 0}));
   Arrive(1, 1, "a", 2);
@@ -440,8 +449,8 @@
   BOOST_TEST(SentTo<StartRuns>("agent-2", moved).size() == 1u);
 }
 
-// A task that crashes each worker that starts it.
-BOOST_AUTO_TEST_CASE(task_whose_workers_crash_is_given_up_after_two) {
+// The task crashes each worker that starts it.
+BOOST_AUTO_TEST_CASE(task_whose_workers_crash_is_abandoned_after_two) {
   AddAgent("agent-1");
   AddAgent("agent-2");
   AddAgent("agent-3");
@@ -468,7 +477,7 @@
   BOOST_TEST(answers[0].reason == "crashes_workers");
 }
 
-BOOST_AUTO_TEST_CASE(worker_back_from_a_crash_gets_other_tasks_at_once) {
+BOOST_AUTO_TEST_CASE(restarted_worker_gets_other_tasks_at_once) {
   AddAgent("agent-1");
   Arrive(1, 1);
   Report("agent-1", {End(0, RunEnd::kWorkerLost)}, Status());
@@ -476,7 +485,7 @@
   BOOST_TEST(starts.size() == 1u);
 }
 
-BOOST_AUTO_TEST_CASE(task_that_no_linked_worker_holds_asks_for_others) {
+BOOST_AUTO_TEST_CASE(task_that_fits_no_linked_worker_requests_a_larger_subset) {
   AddAgent("agent-1");
   Arrive(1, 1);
   Pass(absl::Milliseconds(100));
--- a/test/link_hub_test.cc
+++ b/test/link_hub_test.cc
@@ -327,9 +327,9 @@
   TestHub& entry = AddHub("entry-a", ProcessRole::kEntry);
   entry.Dial({agent.Address()});
   DriveUntil([&] { return entry.IsUp(agent) && agent.IsUp(entry); });
-  entry.hub->DialAgain("agent-3", agent.hello.incarnation + 1);
-  entry.hub->DialAgain("agent-3", agent.hello.incarnation);
-  entry.hub->DialAgain("agent-3", agent.hello.incarnation);
+  entry.hub->RedialPeer("agent-3", agent.hello.incarnation + 1);
+  entry.hub->RedialPeer("agent-3", agent.hello.incarnation);
+  entry.hub->RedialPeer("agent-3", agent.hello.incarnation);
   DriveUntil([&] {
     return entry.Count("up agent-3") == 2 && agent.Count("up entry-a") == 2;
   });
@@ -350,7 +350,7 @@
   PeerAddress target = agent.Address();
   target.address = BoundAddress(mute.get());
   entry.Dial({target});
-  entry.hub->DialAgain("agent-3", agent.hello.incarnation);
+  entry.hub->RedialPeer("agent-3", agent.hello.incarnation);
   DriveUntil([&] { return !entry.ended.empty(); });
   BOOST_TEST(entry.ended[0] == "agent-3: handshake timeout");
   BOOST_TEST(entry.Count("down agent-3") == 0);
--- a/test/load_scenario.cc
+++ b/test/load_scenario.cc
@@ -9,28 +9,29 @@
 namespace egretswitch::internal {
 namespace {
 
-// What a job that comes late, but within this many objectives, is worth.
+// The share of its worth that a late job earns within kLateObjectives
+// objectives.
 constexpr double kLateWorth = 0.2;
 constexpr int kLateObjectives = 3;
 
-// One way between a caller and an entry.
+// One-way delay between a caller and an entry.
 constexpr VirtualUs kCallerDelay = Ms(3);
-// Between data centres.
+// One-way delay between an entry and an agent in another data centre.
 constexpr VirtualUs kEntryAgentDelay = 1'400;
 
 constexpr double kStretch = 1.6;
 constexpr uint32_t kObjectiveMs = 60;
-// Tasks of a step differ by so much.
+// Spread of the run times of a step's tasks.
 constexpr double kTaskSpread = 0.15;
 constexpr VirtualUs kFirstJob = Ms(500);
-// For what is open at the end.
+// Time after the scenario in which open jobs may end.
 constexpr VirtualUs kTail = Ms(8'000);
 
 class Draw {
  public:
   explicit Draw(uint64_t seed) : m_random(seed) {}
 
-  // Log-normal with this mean.
+  // Log-normal with the given mean.
   double Size(double mean, double spread) {
     std::lognormal_distribution<double> drawn(
         std::log(mean) - spread * spread / 2, spread);
@@ -51,8 +52,8 @@
                          const LoadKind& kind,
                          VirtualUs at) {
   for (const LoadBurst& burst : scenario.bursts) {
-    const bool meant = burst.kind.empty() || burst.kind == kind.name;
-    if (meant && at >= burst.at && at < burst.at + burst.lasts) {
+    const bool matches = burst.kind.empty() || burst.kind == kind.name;
+    if (matches && at >= burst.at && at < burst.at + burst.lasts) {
       return &burst;
     }
   }
@@ -98,8 +99,9 @@
   job.objective =
       Ms(static_cast<int64_t>(kStretch * static_cast<double>(longest)) +
          kObjectiveMs);
-  job.plan.patience = kind.patience + kLateObjectives * job.objective;
-  job.plan.patience_is_total = true;
+  job.plan.caller_timeout =
+      kind.caller_timeout + kLateObjectives * job.objective;
+  job.plan.caller_timeout_is_total = true;
   const double mean_work = kind.tasks * kind.work_ms / 1000 * kind.cores;
   const double size = 0.3 + 0.7 * job.CoreSeconds() / mean_work;
   job.worth = kind.worth * std::min(4.0, size);
@@ -112,7 +114,7 @@
   const size_t workers = scenario.workers.size();
   const auto hit = static_cast<size_t>(
       std::lround(trouble.share * static_cast<double>(workers)));
-  // Spread over the list, so that each kind of worker is hit.
+  // Spread over the list, so that each kind of worker is affected.
   const auto nth = [&](size_t i) {
     return static_cast<int>(i * workers / std::max<size_t>(1, hit));
   };
@@ -191,7 +193,7 @@
 
 namespace {
 
-// Every third worker is half as large again and slower.
+// Every third worker is larger by a half, and slower.
 std::vector<WorkerPlan> MixedWorkers(int count, uint32_t usual = 64'000) {
   std::vector<WorkerPlan> workers;
   for (int i = 0; i < count; ++i) {
@@ -233,14 +235,15 @@
   return scenario;
 }
 
-// A worker holds four of these tasks, not ten, and an entry reaches one task in
-// thirty through its own runs.
+// A worker holds four of these tasks instead of ten, and only one task in
+// thirty is a run of the entry's own, whose end reports free capacity to it.
 LoadScenario FleetLoad(double share) {
   LoadScenario scenario = MixedLoad();
   scenario.name = "fleet";
   scenario.lasts = Ms(10'000);
   scenario.workers = MixedWorkers(static_cast<int>(240 * share));
-  // Three callers' machines in a hundred of all at one entry, at others none.
+  // Up to three in a hundred caller machines use the same entry, and some
+  // entries get no callers.
   scenario.entries = static_cast<int>(55 * share);
   for (int i = 0; i < scenario.entries; ++i) {
     constexpr int kPattern[] = {1, 2, 0, 1, 0, 3, 1, 1, 0, 2, 1};
@@ -269,11 +272,11 @@
   return scenario;
 }
 
-std::unique_ptr<RunWorld> PlayLoad(const LoadScenario& scenario,
-                                   const std::vector<LoadJob>& jobs,
-                                   uint64_t seed,
-                                   const DispatchPolicy& policy,
-                                   std::vector<double>* busy) {
+std::unique_ptr<RunWorld> SimulateLoad(const LoadScenario& scenario,
+                                       const std::vector<LoadJob>& jobs,
+                                       uint64_t seed,
+                                       const DispatchPolicy& policy,
+                                       std::vector<double>* busy) {
   RunWorldOptions options;
   options.seed = seed;
   options.entries = scenario.entries;
@@ -317,17 +320,17 @@
                    VirtualUs from,
                    VirtualUs to,
                    int kind) {
-  double owed = 0;
-  double earned = 0;
+  double total = 0;
+  double served = 0;
   for (size_t i = 0; i < jobs.size(); ++i) {
     const LoadJob& job = jobs[i];
-    const bool meant = kind < 0 || job.kind == kind;
-    if (meant && job.plan.at >= from && job.plan.at < to) {
-      owed += job.worth;
-      earned += WorthOf(job, world.OutcomeOf(static_cast<int>(i)));
+    const bool matches = kind < 0 || job.kind == kind;
+    if (matches && job.plan.at >= from && job.plan.at < to) {
+      total += job.worth;
+      served += WorthOf(job, world.OutcomeOf(static_cast<int>(i)));
     }
   }
-  return owed == 0 ? 1 : earned / owed;
+  return total == 0 ? 1 : served / total;
 }
 
 }  // namespace egretswitch::internal
--- a/test/load_scenario.h
+++ b/test/load_scenario.h
@@ -1,12 +1,12 @@
-// A load to play against the decisions of entries and agents: workers, kinds of
-// job, how many come when, and what goes wrong meanwhile.
+// A load scenario for simulations of entries and agents: workers, kinds of job,
+// arrival rates and injected faults.
 //
 //   LoadScenario scenario = {.kinds = {{.name = "check", .per_s = 30}}};
 //   scenario.bursts = {{.at = Ms(6000), .lasts = Ms(8000), .factor = 1.8}};
 //   const std::vector<LoadJob> jobs = DrawJobs(scenario, /*seed=*/1);
 //
-// A job's worth and true work are for the measurement alone: the decisions see
-// only what a caller sends.
+// A job's worth and true run times are used only to measure the result: entries
+// and agents see only what a caller sends.
 #ifndef EGRETSWITCH_TEST_LOAD_SCENARIO_H_
 #define EGRETSWITCH_TEST_LOAD_SCENARIO_H_
 
@@ -19,8 +19,8 @@
 
 namespace egretswitch::internal {
 
-// Jobs of one queue. Sizes are drawn: `spread` is the standard deviation of the
-// logarithm.
+// Jobs of one queue. Sizes are log-normal; each spread is the standard
+// deviation of the logarithm.
 struct LoadKind {
   std::string name;
   uint32_t priority = 0;
@@ -31,24 +31,24 @@
   double work_ms = 100;  // mean, of a task
   double work_spread = 0.4;
   double cores = 6.2;  // mean, of a task
-  double worth = 1;    // mean, of a job on time
-  VirtualUs patience = Ms(1500);
+  double worth = 1;    // mean, of a job that completes on time
+  VirtualUs caller_timeout = Ms(1500);
 };
 
-// `factor` times the usual number of jobs.
+// A period with `factor` times the normal arrival rate.
 struct LoadBurst {
   VirtualUs at = 0;
   VirtualUs lasts = 0;
   double factor = 1;
   std::string kind = {};  // empty: of all kinds
-  double size = 1;        // and their tasks this much longer
+  double size = 1;        // factor on the run times of their tasks
 };
 
 struct LoadTrouble {
   enum class Kind : uint8_t {
     kSlow,         // `share` of the workers take `factor` times as long
-    kCrash,        // `share` of the workers crash, and come back after `lasts`
-    kHang,         // as kSlow, without an end
+    kCrash,        // `share` of the workers crash and restart after `lasts`
+    kHang,         // like kSlow, but tasks practically never end
     kPowerLoss,    // of all processes and workers
     kLostAnswers,  // `share` of the workers lose `factor` of their answers
     kEvacuation,   // of a data centre, a third of the workers
@@ -67,9 +67,9 @@
   std::vector<int> entry_shares = {};
   std::vector<WorkerPlan> workers = {};
   std::vector<LoadKind> kinds = {};
-  double load = 1;  // times each kind's rate
+  double load = 1;  // factor on the rate of each kind
   double estimate_spread = 0.4;
-  double estimate_bias = 1;  // callers' estimates over the truth, in the middle
+  double estimate_bias = 1;  // median of callers' estimates over true run times
   std::vector<LoadBurst> bursts = {};
   std::vector<LoadTrouble> troubles = {};
 };
@@ -78,40 +78,43 @@
   JobPlan plan;
   int kind = 0;
   double worth = 0;
-  VirtualUs objective = 0;  // by the true work
+  VirtualUs objective = 0;  // from the true run times
 
   double CoreSeconds() const;
 };
 
 std::vector<LoadJob> DrawJobs(const LoadScenario& scenario, uint64_t seed);
 
-// Workers of 64 and, each third, 96 cores that are slower by a third; three
-// kinds of job, the most urgent short and wide, the least urgent long, which
-// take two thirds of the room.
+// Workers of 64 cores; every third one has 96 cores and is slower by a third.
+// Three kinds of job that need two thirds of the capacity: the most urgent jobs
+// are short with many tasks, the least urgent ones are long.
 LoadScenario MixedLoad();
-// The same on 240 workers behind 55 entries that get very unequal shares of the
-// callers; tasks that take a quarter of a worker. `share` of all of that.
+// The same kinds on 240 workers behind 55 entries with very unequal shares of
+// the callers; each task takes a quarter of a worker. `share` scales the
+// numbers of workers and entries and the rates.
 LoadScenario FleetLoad(double share = 1);
 
-// Small workers, 68 of 16 cores and, each third, 24 that are slower, behind 12
-// entries; ten tasks to a worker, nine jobs in ten of the two short kinds.
+// 68 small workers behind 12 entries: 16 cores, or 24 slower ones for every
+// third worker. A worker holds ten tasks; nine jobs in ten are of the two short
+// kinds.
 LoadScenario ManySmallJobsLoad();
 
-// Plays the jobs; the world is left as it is at the end, `lasts` and 8 s more.
-// `busy`, if any, gets the share of the processors in use, each kBusyStep.
-std::unique_ptr<RunWorld> PlayLoad(const LoadScenario& scenario,
-                                   const std::vector<LoadJob>& jobs,
-                                   uint64_t seed,
-                                   const DispatchPolicy& policy = {},
-                                   std::vector<double>* busy = nullptr);
+// Simulates the jobs and returns the world in its final state, 8 s after the
+// end of the scenario. `busy`, if not null, gets the share of the processors in
+// use, sampled every kBusyStep.
+std::unique_ptr<RunWorld> SimulateLoad(const LoadScenario& scenario,
+                                       const std::vector<LoadJob>& jobs,
+                                       uint64_t seed,
+                                       const DispatchPolicy& policy = {},
+                                       std::vector<double>* busy = nullptr);
 inline constexpr VirtualUs kBusyStep = Ms(10);
 
-// What an outcome is worth: all on time, a fifth up to three times the
-// objective, nothing later or without an answer.
+// The worth of an outcome: all of the job's worth on time, a fifth up to three
+// times the objective, nothing later or if the job did not complete.
 double WorthOf(const LoadJob& job, const JobOutcome& outcome);
 
-// The share of the worth of jobs that came from `from` to `to`, by kind or (-1)
-// of all.
+// The worth earned as a share of the total worth of the jobs that arrived from
+// `from` to `to`, of one kind or (-1) of all kinds.
 double ShareServed(const std::vector<LoadJob>& jobs,
                    const RunWorld& world,
                    VirtualUs from,
--- a/test/load_test.cc
+++ b/test/load_test.cc
@@ -1,7 +1,7 @@
-// How well entries and agents decide under load, each pattern beside the same
-// play without the mechanism that answers it. Shares are of the worth of what
-// came, over three draws; the margins are about half of what was measured over
-// eight.
+// Tests the goodput of entries and agents under simulated load, with and
+// without the mechanism that handles each load pattern. Shares are of the total
+// worth of the arriving jobs, averaged over three seeds; the margins are about
+// half of the difference measured over eight seeds.
 #include <algorithm>
 #include <boost/test/unit_test.hpp>
 #include <string>
@@ -11,7 +11,7 @@
 namespace egretswitch::internal {
 namespace {
 
-constexpr uint64_t kDraws = 3;
+constexpr uint64_t kSeeds = 3;
 constexpr int kShort = 0;  // kinds of MixedLoad()
 constexpr int kLong = 1;
 
@@ -24,24 +24,26 @@
     return policy;
   }
 
-  // The mean share of what came from 4 s to 12 s, of one kind or (-1) of all.
+  // The mean share served of the jobs that arrive from 4 s to 12 s, of one kind
+  // or
+  // (-1) of all kinds.
   double Served(const DispatchPolicy& policy = {}, int kind = -1) const {
     double sum = 0;
-    for (uint64_t seed = 1; seed <= kDraws; ++seed) {
+    for (uint64_t seed = 1; seed <= kSeeds; ++seed) {
       const std::vector<LoadJob> jobs = DrawJobs(scenario, seed);
-      const auto world = PlayLoad(scenario, jobs, seed, policy);
+      const auto world = SimulateLoad(scenario, jobs, seed, policy);
       BOOST_TEST(world->violations().empty());
       sum += ShareServed(jobs, *world, Ms(4'000), Ms(12'000), kind);
     }
-    return sum / kDraws;
+    return sum / kSeeds;
   }
 
-  // The longest time after which a job was refused, over its objective by the
-  // caller's estimate.
-  double LongestWaitOfRefused() const {
+  // The longest time after which a job was refused, as a share of the objective
+  // that follows from its caller's estimate.
+  double LongestRelativeWaitOfRefused() const {
     double longest = 0;
     const std::vector<LoadJob> jobs = DrawJobs(scenario, 1);
-    const auto world = PlayLoad(scenario, jobs, 1);
+    const auto world = SimulateLoad(scenario, jobs, 1);
     for (size_t i = 0; i < jobs.size(); ++i) {
       const JobOutcome outcome = world->OutcomeOf(static_cast<int>(i));
       const JobPlan& plan = jobs[i].plan;
@@ -56,16 +58,16 @@
     return longest;
   }
 
-  // The share of starts that found no room.
-  double InVain(const RunWorld& world) const {
+  // The share of starts that the agent refused for lack of free capacity.
+  double RefusedStartShare(const RunWorld& world) const {
     double starts = 0;
-    double in_vain = 0;
+    double refused = 0;
     for (int entry = 0; entry < scenario.entries; ++entry) {
       const RunCounters& counters = world.CountersOf(entry);
       starts += static_cast<double>(counters.Get(RunCounter::kRunsStarted));
-      in_vain += static_cast<double>(counters.Get(RunCounter::kRetriesNoRoom));
+      refused += static_cast<double>(counters.Get(RunCounter::kRetriesNoRoom));
     }
-    return in_vain / starts;
+    return refused / starts;
   }
 
   LoadScenario scenario = MixedLoad();
@@ -73,14 +75,15 @@
 
 BOOST_FIXTURE_TEST_SUITE(load, LoadFixture)
 
-BOOST_AUTO_TEST_CASE(load_within_the_room_is_served_whole) {
+BOOST_AUTO_TEST_CASE(load_below_capacity_is_served_whole) {
   scenario.load = 0.8;
   BOOST_TEST(Served() > 0.99);
 }
 
-// Goodput levels off past the room of the workers; 0.85 is the stated aim.
-BOOST_AUTO_TEST_CASE(load_twice_the_room_is_served_nearly_as_much_as_once) {
-  const double usual = 1 / 0.73;  // MixedLoad() asks for 0.73 of the room
+// Goodput should level off beyond the capacity of the workers; the required
+// share is 0.85.
+BOOST_AUTO_TEST_CASE(load_of_twice_the_capacity_keeps_the_goodput) {
+  const double usual = 1 / 0.73;  // MixedLoad() needs 0.73 of the capacity
   scenario.load = usual;
   const double at_the_limit = usual * Served();
   scenario.load = 2 * usual;
@@ -113,14 +116,14 @@
   BOOST_TEST(Served() > Served(Without("repeats_last")) + 0.004);
 }
 
-// A refusal that comes when the objective has passed helps nobody.
+// A refusal is useless to the caller once the objective has passed.
 BOOST_AUTO_TEST_CASE(burst_of_all_kinds_refuses_well_within_the_objective) {
   scenario.bursts = {{.at = Ms(4'000), .lasts = Ms(8'000), .factor = 1.8}};
-  BOOST_TEST(LongestWaitOfRefused() < 0.8);
+  BOOST_TEST(LongestRelativeWaitOfRefused() < 0.8);
 }
 
-// A start, a stop and a look whose answer is lost were carried out all the
-// same; nobody is late because of them for long.
+// Starts, stops and polls whose answers are lost are carried out all the same,
+// so the lost answers delay few jobs.
 BOOST_AUTO_TEST_CASE(workers_that_lose_answers_serve_nearly_all) {
   scenario.load = 0.9;
   scenario.troubles = {{.kind = LoadTrouble::Kind::kLostAnswers,
@@ -132,24 +135,25 @@
   BOOST_TEST(Served({}, kShort) > 0.7);
 }
 
-// 60 workers behind 13 entries. With all workers in reach a start in two finds
-// no room, and each of them costs two messages.
-BOOST_AUTO_TEST_CASE(fleet_in_a_burst_starts_less_in_vain_with_few_in_reach) {
+// 60 workers behind 13 entries. If each entry uses all workers, one start in
+// two is refused for lack of free capacity, at a cost of two messages.
+BOOST_AUTO_TEST_CASE(
+    fleet_in_a_burst_has_fewer_refused_starts_with_a_small_subset) {
   scenario = FleetLoad(0.5);
   scenario.lasts = Ms(7'000);
   scenario.load = 1.1;
   scenario.bursts = {{.at = Ms(4'000), .lasts = Ms(3'000), .factor = 1.25}};
   const std::vector<LoadJob> jobs = DrawJobs(scenario, 1);
-  const auto few = PlayLoad(scenario, jobs, 1);
-  const auto all = PlayLoad(scenario, jobs, 1, Without("worker_reach"));
-  BOOST_TEST(InVain(*few) < 0.9 * InVain(*all));
-  BOOST_TEST(static_cast<double>(few->messages()) <
+  const auto subset = SimulateLoad(scenario, jobs, 1);
+  const auto all = SimulateLoad(scenario, jobs, 1, Without("worker_reach"));
+  BOOST_TEST(RefusedStartShare(*subset) < 0.9 * RefusedStartShare(*all));
+  BOOST_TEST(static_cast<double>(subset->messages()) <
              0.985 * static_cast<double>(all->messages()));
-  BOOST_TEST(ShareServed(jobs, *few, Ms(1'000), Ms(7'000)) >
+  BOOST_TEST(ShareServed(jobs, *subset, Ms(1'000), Ms(7'000)) >
              ShareServed(jobs, *all, Ms(1'000), Ms(7'000)) - 0.01);
 }
 
-// Half of the workers are gone at once, among them those in reach.
+// Half of the workers crash at once, including those in the entries' subsets.
 BOOST_AUTO_TEST_CASE(
     fleet_that_loses_half_of_its_workers_serves_with_the_rest) {
   scenario = FleetLoad(0.25);
@@ -160,9 +164,9 @@
                         .lasts = Ms(20'000),
                         .share = 0.5}};
   const std::vector<LoadJob> jobs = DrawJobs(scenario, 1);
-  const auto world = PlayLoad(scenario, jobs, 1);
-  // What ran there is found lost, and the worker is known to be gone, with its
-  // next announcement.
+  const auto world = SimulateLoad(scenario, jobs, 1);
+  // The loss of a worker and of its runs is detected with the worker's next
+  // announcement.
   BOOST_TEST(ShareServed(jobs, *world, Ms(4'000), Ms(6'000)) > 0.95);
 }
 
--- a/test/open_job_test.cc
+++ b/test/open_job_test.cc
@@ -1,4 +1,5 @@
-// When a job ends whose request has waited before it was taken.
+// Tests when a job expires whose request was queued before the entry accepted
+// it.
 #include "open_job.h"
 
 #include <boost/test/unit_test.hpp>
@@ -22,18 +23,19 @@
 
 BOOST_FIXTURE_TEST_SUITE(open_job, OpenJobFixture)
 
-// Guards against runs for a caller whose patience is over: the time that its
-// request has waited is a part of it.
-BOOST_AUTO_TEST_CASE(job_that_has_waited_ends_with_its_callers_patience) {
-  arrival.patience = absl::Milliseconds(2500);
+// Guards against runs for a caller that has timed out: the time for which its
+// request was queued counts towards the caller timeout.
+BOOST_AUTO_TEST_CASE(job_that_has_waited_expires_with_its_caller_timeout) {
+  arrival.caller_timeout = absl::Milliseconds(2500);
   const OpenJob job = MakeOpenJob(arrival, 1, clock.now().mono);
-  BOOST_TEST((job.give_up_at - clock.now().mono == absl::Milliseconds(2100)));
+  BOOST_TEST((job.expires_at - clock.now().mono == absl::Milliseconds(2100)));
 }
 
-BOOST_AUTO_TEST_CASE(job_that_has_waited_without_a_patience_has_its_timeout) {
-  arrival.patience = absl::InfiniteDuration();
+BOOST_AUTO_TEST_CASE(
+    job_that_has_waited_without_caller_timeout_has_the_queue_timeout) {
+  arrival.caller_timeout = absl::InfiniteDuration();
   const OpenJob job = MakeOpenJob(arrival, 1, clock.now().mono);
-  BOOST_TEST((job.give_up_at - clock.now().mono == absl::Milliseconds(1100)));
+  BOOST_TEST((job.expires_at - clock.now().mono == absl::Milliseconds(1100)));
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/test/refused_starts_test.cc
+++ b/test/refused_starts_test.cc
@@ -34,7 +34,7 @@
     plan.queue.max_attempts = 3;
     plan.queue.stretch = 2;
     plan.queue.objective_ms = 8000;
-    plan.patience = Ms(8000);
+    plan.caller_timeout = Ms(8000);
     plans.push_back(std::move(plan));
   }
   return plans;
@@ -59,7 +59,7 @@
 
 struct RefusedStartsFixture : RunKeeperFixture {
   RefusedStartsFixture() {
-    Do(PeerUp{"entry-1", 7});
+    Do(PeerConnected{"entry-1", 7});
     look = OnlyLook(MeetWorker("i-1"));
   }
 
--- a/test/run_fixture.h
+++ b/test/run_fixture.h
@@ -1,5 +1,5 @@
-// What the tests of jobs made of steps share: virtual time, and the actions of
-// one kind among those that a state machine asked for.
+// Shared by the tests of the run state machines: a virtual clock, and filters
+// for the actions that a state machine returned.
 #ifndef EGRETSWITCH_TEST_RUN_FIXTURE_H_
 #define EGRETSWITCH_TEST_RUN_FIXTURE_H_
 
@@ -13,7 +13,7 @@
 
 namespace egretswitch::internal {
 
-// All actions of type `Wanted`, in their order.
+// Returns all actions of type `Wanted`, in their order.
 template <typename Wanted, typename Action>
 std::vector<Wanted> ActionsOf(const std::vector<Action>& actions) {
   std::vector<Wanted> found;
@@ -25,7 +25,7 @@
   return found;
 }
 
-// The bodies of type `Body` that were sent to `peer`.
+// Returns the bodies of type `Body` that were sent to `peer`.
 template <typename Body, typename Action>
 std::vector<Body> SentTo(const std::string& peer,
                          const std::vector<Action>& actions) {
@@ -39,7 +39,7 @@
   return found;
 }
 
-// A clock that stands until the test moves it.
+// A clock that the test advances explicitly.
 class VirtualClock {
  public:
   Now now() const { return {m_mono, 1'700'000'000'000}; }
--- a/test/run_keeper_fixture.h
+++ b/test/run_keeper_fixture.h
@@ -80,7 +80,7 @@
   }
 
   RunKeeperActions Say(const RunMessageBody& body) {
-    return Do(PeerSaid{"entry-1", 7, body});
+    return Do(PeerMessageReceived{"entry-1", 7, body});
   }
 
   std::vector<RunReport> Reports(const RunKeeperActions& actions) {
@@ -97,7 +97,7 @@
 
   // An entry and a worker are there; one task runs.
   LookCall RunOneTask() {
-    Do(PeerUp{"entry-1", 7});
+    Do(PeerConnected{"entry-1", 7});
     const LookCall look = OnlyLook(MeetWorker("i-1"));
     const auto calls = ActionsOf<StartCall>(Say(Start(1)));
     BOOST_REQUIRE(calls.size() == 1u);
--- a/test/run_keeper_test.cc
+++ b/test/run_keeper_test.cc
@@ -14,7 +14,7 @@
 BOOST_FIXTURE_TEST_SUITE(run_keeper, RunKeeperFixture)
 
 BOOST_AUTO_TEST_CASE(start_worker_with_room_is_passed_on_under_a_lease) {
-  Do(PeerUp{"entry-1", 7});
+  Do(PeerConnected{"entry-1", 7});
   MeetWorker("i-1");
   const auto calls = ActionsOf<StartCall>(Say(Start(2)));
   BOOST_REQUIRE(calls.size() == 2u);
@@ -27,7 +27,7 @@
 }
 
 BOOST_AUTO_TEST_CASE(start_beyond_capacity_is_reported_as_no_room) {
-  Do(PeerUp{"entry-1", 7});
+  Do(PeerConnected{"entry-1", 7});
   MeetWorker("i-1");
   const RunKeeperActions actions = Say(Start(11));
   BOOST_TEST(ActionsOf<StartCall>(actions).size() == 10u);
@@ -49,7 +49,7 @@
 }
 
 BOOST_AUTO_TEST_CASE(start_order_older_than_freshness_does_nothing) {
-  Do(PeerUp{"entry-1", 7});
+  Do(PeerConnected{"entry-1", 7});
   MeetWorker("i-1");
   const StartRuns start = Start(1);
   clock.Advance(kStartFreshness + absl::Milliseconds(1));
@@ -60,7 +60,7 @@
 }
 
 BOOST_AUTO_TEST_CASE(start_meant_for_a_former_worker_does_nothing) {
-  Do(PeerUp{"entry-1", 7});
+  Do(PeerConnected{"entry-1", 7});
   MeetWorker("i-2");
   const RunKeeperActions actions = Say(Start(1));
   BOOST_TEST(ActionsOf<StartCall>(actions).empty());
@@ -68,7 +68,7 @@
 }
 
 BOOST_AUTO_TEST_CASE(start_leaving_worker_is_reported_as_leaving) {
-  Do(PeerUp{"entry-1", 7});
+  Do(PeerConnected{"entry-1", 7});
   MeetWorker("i-1");
   WorkerAnnouncement leaving = Announcement("i-1");
   leaving.leaving = true;
@@ -81,7 +81,7 @@
 }
 
 BOOST_AUTO_TEST_CASE(announcement_older_than_leaving_does_not_undo_it) {
-  Do(PeerUp{"entry-1", 7});
+  Do(PeerConnected{"entry-1", 7});
   MeetWorker("i-1");
   const WorkerAnnouncement before = Announcement("i-1");
   WorkerAnnouncement leaving = Announcement("i-1");
@@ -92,7 +92,7 @@
 }
 
 BOOST_AUTO_TEST_CASE(announcement_of_a_former_worker_is_not_believed) {
-  Do(PeerUp{"entry-1", 7});
+  Do(PeerConnected{"entry-1", 7});
   MeetWorker("i-1");
   const auto looks =
       ActionsOf<LookCall>(Do(WorkerAnnounced{Announcement("i-0")}));
@@ -102,7 +102,7 @@
 }
 
 BOOST_AUTO_TEST_CASE(hint_of_an_entry_is_believed_once_the_worker_answers) {
-  Do(PeerUp{"entry-1", 7});
+  Do(PeerConnected{"entry-1", 7});
   const LookCall look = OnlyLook(Say(WorkerHint{Announcement("i-1")}));
   BOOST_TEST(!keeper.worker().known());
   AnswerLook(look, {}, {});
@@ -113,7 +113,7 @@
 // The hint dates from when the former agent met the worker, so the token made
 // of it is below that agent's.
 BOOST_AUTO_TEST_CASE(hint_whose_token_is_too_low_is_tried_again_at_once) {
-  Do(PeerUp{"entry-1", 7});
+  Do(PeerConnected{"entry-1", 7});
   const LookCall look = OnlyLook(Say(WorkerHint{Announcement("i-1")}));
   const LookCall again =
       OnlyLook(AnswerLook(look, {}, {}, CallVerdict::kFenced));
@@ -124,7 +124,7 @@
 }
 
 BOOST_AUTO_TEST_CASE(hint_that_stays_fenced_is_not_tried_without_a_pause) {
-  Do(PeerUp{"entry-1", 7});
+  Do(PeerConnected{"entry-1", 7});
   const LookCall look = OnlyLook(Say(WorkerHint{Announcement("i-1")}));
   const LookCall again =
       OnlyLook(AnswerLook(look, {}, {}, CallVerdict::kFenced));
@@ -137,7 +137,7 @@
 // Whoever wrote it, it must not take the worker away from its entries.
 BOOST_AUTO_TEST_CASE(
     report_with_another_service_of_the_worker_changes_nothing) {
-  Do(PeerUp{"entry-1", 7});
+  Do(PeerConnected{"entry-1", 7});
   MeetWorker("i-1");
   WorkerAnnouncement other = Announcement("i-1");
   other.service = "elsewhere";
@@ -149,7 +149,7 @@
 }
 
 BOOST_AUTO_TEST_CASE(report_that_the_worker_leaves_counts_out_of_order) {
-  Do(PeerUp{"entry-1", 7});
+  Do(PeerConnected{"entry-1", 7});
   MeetWorker("i-1");
   WorkerAnnouncement ahead = Announcement("i-1");
   ahead.sequence = 1u << 30;
@@ -161,7 +161,7 @@
 }
 
 BOOST_AUTO_TEST_CASE(hint_of_a_former_worker_is_dropped) {
-  Do(PeerUp{"entry-1", 7});
+  Do(PeerConnected{"entry-1", 7});
   const LookCall look = OnlyLook(Say(WorkerHint{Announcement("i-0")}));
   AnswerLook(look, {}, {}, CallVerdict::kOtherWorker);
   BOOST_TEST(!keeper.worker().known());
@@ -170,7 +170,7 @@
 }
 
 BOOST_AUTO_TEST_CASE(hint_of_a_leaving_worker_starts_nothing_on_it) {
-  Do(PeerUp{"entry-1", 7});
+  Do(PeerConnected{"entry-1", 7});
   WorkerAnnouncement leaving = Announcement("i-1");
   leaving.leaving = true;
   AnswerLook(OnlyLook(Say(WorkerHint{leaving})), {}, {});
@@ -240,16 +240,16 @@
 
 BOOST_AUTO_TEST_CASE(entry_replaced_by_another_process_has_its_runs_stopped) {
   RunOneTask();
-  const RunKeeperActions actions = Do(PeerUp{"entry-1", 8});
+  const RunKeeperActions actions = Do(PeerConnected{"entry-1", 8});
   BOOST_TEST(ActionsOf<StopCall>(actions).size() == 1u);
 }
 
 BOOST_AUTO_TEST_CASE(link_that_comes_back_keeps_runs_and_reports) {
   const LookCall look = RunOneTask();
-  Do(PeerDown{"entry-1", 7});
+  Do(PeerDisconnected{"entry-1", 7});
   BOOST_TEST(Reports(AnswerLook(look, {}, {{1, Key(0), WorkerRunEnd::kDone}}))
                  .empty());
-  const RunKeeperActions actions = Do(PeerUp{"entry-1", 7});
+  const RunKeeperActions actions = Do(PeerConnected{"entry-1", 7});
   BOOST_TEST(ActionsOf<StopCall>(actions).empty());
   BOOST_TEST(Reports(actions).size() == 1u);
 }
@@ -259,8 +259,8 @@
   const LookCall look = RunOneTask();
   BOOST_TEST(Reports(AnswerLook(look, {}, {{1, Key(0), WorkerRunEnd::kDone}}))
                  .size() == 1u);
-  Do(PeerDown{"entry-1", 7});
-  Do(PeerUp{"entry-1", 7});
+  Do(PeerDisconnected{"entry-1", 7});
+  Do(PeerConnected{"entry-1", 7});
   const auto told =
       Reports(Say(RenewRuns{clock.ms(), {}, {{Key(0).task, Key(0).run, 0}}}));
   BOOST_REQUIRE(told.size() == 1u);
@@ -278,7 +278,7 @@
 }
 
 BOOST_AUTO_TEST_CASE(stop_of_one_run_leaves_the_others) {
-  Do(PeerUp{"entry-1", 7});
+  Do(PeerConnected{"entry-1", 7});
   MeetWorker("i-1");
   Say(Start(2));
   const auto stops = ActionsOf<StopCall>(Say(StopRuns{"5c0e", 0, {{1, 1}}}));
@@ -287,7 +287,7 @@
 }
 
 BOOST_AUTO_TEST_CASE(start_unanswered_and_listed_goes_on) {
-  Do(PeerUp{"entry-1", 7});
+  Do(PeerConnected{"entry-1", 7});
   const LookCall look = OnlyLook(MeetWorker("i-1"));
   const auto calls = ActionsOf<StartCall>(Say(Start(1)));
   clock.Advance(absl::Milliseconds(150));
@@ -306,7 +306,7 @@
 // The worker may carry the start out much later; once it has answered a stop it
 // never will, and only then is the run reported as over.
 BOOST_AUTO_TEST_CASE(start_unanswered_and_not_listed_is_stopped_then_reported) {
-  Do(PeerUp{"entry-1", 7});
+  Do(PeerConnected{"entry-1", 7});
   MeetWorker("i-1");
   const auto calls = ActionsOf<StartCall>(Say(Start(1)));
   const LookCall quick =
@@ -324,7 +324,7 @@
 }
 
 BOOST_AUTO_TEST_CASE(start_without_an_answer_is_called_again) {
-  Do(PeerUp{"entry-1", 7});
+  Do(PeerConnected{"entry-1", 7});
   MeetWorker("i-1");
   const auto first = ActionsOf<StartCall>(Say(Start(1)));
   BOOST_TEST((keeper.NextWake() <= clock.now().mono + kStartRetry));
@@ -382,7 +382,7 @@
 }
 
 BOOST_AUTO_TEST_CASE(start_is_called_so_often_and_no_more) {
-  Do(PeerUp{"entry-1", 7});
+  Do(PeerConnected{"entry-1", 7});
   MeetWorker("i-1");
   Say(Start(1));
   size_t repeated = 0;
@@ -394,7 +394,7 @@
 
 // The first call may have started the run, and the run may have ended since.
 BOOST_AUTO_TEST_CASE(start_turned_away_after_a_lost_call_may_have_run) {
-  Do(PeerUp{"entry-1", 7});
+  Do(PeerConnected{"entry-1", 7});
   MeetWorker("i-1");
   const auto first = ActionsOf<StartCall>(Say(Start(1)));
   const RunKeeperActions again = Pass(kStartRetry);
@@ -413,7 +413,7 @@
 }
 
 BOOST_AUTO_TEST_CASE(start_turned_away_at_each_call_never_started) {
-  Do(PeerUp{"entry-1", 7});
+  Do(PeerConnected{"entry-1", 7});
   MeetWorker("i-1");
   const auto first = ActionsOf<StartCall>(Say(Start(1)));
   const auto second = ActionsOf<StartCall>(Pass(kStartRetry));
@@ -441,7 +441,7 @@
 }
 
 BOOST_AUTO_TEST_CASE(run_that_no_entry_answers_for_is_stopped) {
-  Do(PeerUp{"entry-1", 7});
+  Do(PeerConnected{"entry-1", 7});
   const LookCall look = OnlyLook(MeetWorker("i-1"));
   const auto stops = ActionsOf<StopCall>(AnswerLook(look, {Key(3, 9)}, {}));
   BOOST_REQUIRE(stops.size() == 1u);
@@ -449,7 +449,7 @@
 }
 
 BOOST_AUTO_TEST_CASE(call_fenced_by_a_higher_token_raises_the_own_one) {
-  Do(PeerUp{"entry-1", 7});
+  Do(PeerConnected{"entry-1", 7});
   MeetWorker("i-1");
   const auto calls = ActionsOf<StartCall>(Say(Start(1)));
   const RunKeeperActions actions =
@@ -493,12 +493,12 @@
 }
 
 BOOST_AUTO_TEST_CASE(room_free_again_is_told_to_an_entry_that_was_refused) {
-  Do(PeerUp{"entry-1", 7});
+  Do(PeerConnected{"entry-1", 7});
   const LookCall look = OnlyLook(MeetWorker("i-1"));
   Say(Start(11));
-  Do(PeerUp{"entry-2", 9});
-  const auto second =
-      Do(PeerSaid{"entry-2", 9, Start(1, 5)});  // refused: the worker is full
+  Do(PeerConnected{"entry-2", 9});
+  const auto second = Do(PeerMessageReceived{
+      "entry-2", 9, Start(1, 5)});  // refused: the worker is full
   BOOST_TEST(ActionsOf<StartCall>(second).empty());
   const RunKeeperActions actions = AnswerLook(
       look, {},
@@ -509,11 +509,12 @@
 }
 
 BOOST_AUTO_TEST_CASE(room_free_again_is_told_to_an_entry_that_asked) {
-  Do(PeerUp{"entry-1", 7});
+  Do(PeerConnected{"entry-1", 7});
   const LookCall look = OnlyLook(MeetWorker("i-1"));
   Say(Start(10));
-  Do(PeerUp{"entry-2", 9});
-  Do(PeerSaid{"entry-2", 9, RenewRuns{clock.ms(), {{0, kSixCores, 1}}}});
+  Do(PeerConnected{"entry-2", 9});
+  Do(PeerMessageReceived{"entry-2", 9,
+                         RenewRuns{clock.ms(), {{0, kSixCores, 1}}}});
   const RunKeeperActions actions = AnswerLook(
       look, {},
       {{1, Key(0), WorkerRunEnd::kDone}, {2, Key(1), WorkerRunEnd::kDone}});
@@ -522,15 +523,17 @@
 
 BOOST_AUTO_TEST_CASE(
     room_for_one_task_is_told_to_the_entry_with_the_most_urgent) {
-  Do(PeerUp{"entry-1", 7});
-  Do(PeerUp{"entry-2", 9});
-  Do(PeerUp{"entry-3", 3});
+  Do(PeerConnected{"entry-1", 7});
+  Do(PeerConnected{"entry-2", 9});
+  Do(PeerConnected{"entry-3", 3});
   const LookCall look = OnlyLook(MeetWorker("i-1"));
   for (const StartCall& call : ActionsOf<StartCall>(Say(Start(10)))) {
     Do(StartAnswered{call, Answer()});
   }
-  Do(PeerSaid{"entry-3", 3, RenewRuns{clock.ms(), {{2, kSixCores, 9}}}});
-  Do(PeerSaid{"entry-2", 9, RenewRuns{clock.ms(), {{1, kSixCores, 1}}}});
+  Do(PeerMessageReceived{"entry-3", 3,
+                         RenewRuns{clock.ms(), {{2, kSixCores, 9}}}});
+  Do(PeerMessageReceived{"entry-2", 9,
+                         RenewRuns{clock.ms(), {{1, kSixCores, 1}}}});
   const RunKeeperActions actions =
       AnswerLook(look, {}, {{1, Key(0), WorkerRunEnd::kDone}});
   BOOST_TEST(SentTo<RunReports>("entry-2", actions).size() == 1u);
@@ -539,13 +542,15 @@
 
 BOOST_AUTO_TEST_CASE(
     room_for_one_task_is_told_to_the_entry_that_waited_longest) {
-  Do(PeerUp{"entry-1", 7});
+  Do(PeerConnected{"entry-1", 7});
   const LookCall look = OnlyLook(MeetWorker("i-1"));
   Say(Start(10));  // 4 of 64 cores are left
-  Do(PeerUp{"entry-3", 3});
-  Do(PeerUp{"entry-2", 9});
-  Do(PeerSaid{"entry-3", 3, RenewRuns{clock.ms(), {{0, kSixCores, 1}}}});
-  Do(PeerSaid{"entry-2", 9, RenewRuns{clock.ms(), {{0, kSixCores, 1}}}});
+  Do(PeerConnected{"entry-3", 3});
+  Do(PeerConnected{"entry-2", 9});
+  Do(PeerMessageReceived{"entry-3", 3,
+                         RenewRuns{clock.ms(), {{0, kSixCores, 1}}}});
+  Do(PeerMessageReceived{"entry-2", 9,
+                         RenewRuns{clock.ms(), {{0, kSixCores, 1}}}});
   const RunKeeperActions first =
       AnswerLook(look, {}, {{1, Key(0), WorkerRunEnd::kDone}});
   BOOST_TEST(SentTo<RunReports>("entry-3", first).size() == 1u);
@@ -557,13 +562,15 @@
 }
 
 BOOST_AUTO_TEST_CASE(room_goes_more_often_to_the_entry_with_more_waiting) {
-  Do(PeerUp{"entry-1", 7});
+  Do(PeerConnected{"entry-1", 7});
   LookCall look = OnlyLook(MeetWorker("i-1"));
   Say(Start(10));  // 4 of 64 cores are left
-  Do(PeerUp{"entry-2", 9});
-  Do(PeerUp{"entry-3", 3});
-  Do(PeerSaid{"entry-2", 9, RenewRuns{clock.ms(), {{0, kSixCores, 6}}}});
-  Do(PeerSaid{"entry-3", 3, RenewRuns{clock.ms(), {{0, kSixCores, 2}}}});
+  Do(PeerConnected{"entry-2", 9});
+  Do(PeerConnected{"entry-3", 3});
+  Do(PeerMessageReceived{"entry-2", 9,
+                         RenewRuns{clock.ms(), {{0, kSixCores, 6}}}});
+  Do(PeerMessageReceived{"entry-3", 3,
+                         RenewRuns{clock.ms(), {{0, kSixCores, 2}}}});
   size_t second = 0;
   size_t third = 0;
   for (uint32_t i = 0; i < 5; ++i) {
@@ -579,25 +586,27 @@
 }
 
 BOOST_AUTO_TEST_CASE(room_promised_to_one_entry_is_kept_from_the_others) {
-  Do(PeerUp{"entry-1", 7});
+  Do(PeerConnected{"entry-1", 7});
   const LookCall look = OnlyLook(MeetWorker("i-1"));
   Say(Start(10));  // 4 of 64 cores are left
-  Do(PeerUp{"entry-3", 3});
-  Do(PeerSaid{"entry-3", 3, RenewRuns{clock.ms(), {{0, kSixCores, 1}}}});
+  Do(PeerConnected{"entry-3", 3});
+  Do(PeerMessageReceived{"entry-3", 3,
+                         RenewRuns{clock.ms(), {{0, kSixCores, 1}}}});
   AnswerLook(look, {}, {{1, Key(0), WorkerRunEnd::kDone}});
   StartRuns other = Start(1, 9);
   BOOST_TEST(ActionsOf<StartCall>(Say(other)).empty());
   other.job = "1a2b";
-  BOOST_TEST(ActionsOf<StartCall>(Do(PeerSaid{"entry-3", 3, other})).size() ==
-             1u);
+  BOOST_TEST(ActionsOf<StartCall>(Do(PeerMessageReceived{"entry-3", 3, other}))
+                 .size() == 1u);
 }
 
 BOOST_AUTO_TEST_CASE(room_too_small_for_what_waits_is_not_told) {
-  Do(PeerUp{"entry-1", 7});
+  Do(PeerConnected{"entry-1", 7});
   const LookCall look = OnlyLook(MeetWorker("i-1"));
   Say(Start(10));
-  Do(PeerUp{"entry-2", 9});
-  Do(PeerSaid{"entry-2", 9, RenewRuns{clock.ms(), {{0, kWholeWorker, 1}}}});
+  Do(PeerConnected{"entry-2", 9});
+  Do(PeerMessageReceived{"entry-2", 9,
+                         RenewRuns{clock.ms(), {{0, kWholeWorker, 1}}}});
   const RunKeeperActions actions =
       AnswerLook(look, {}, {{1, Key(0), WorkerRunEnd::kDone}});
   BOOST_TEST(SentTo<RunReports>("entry-2", actions).empty());
--- a/test/run_loss_test.cc
+++ b/test/run_loss_test.cc
@@ -17,7 +17,7 @@
 struct RunLossFixture : RunKeeperFixture {
   // The worker of `incarnation` is there, and is told to start task 0.
   StartCall OrderOneTask(const std::string& incarnation) {
-    Do(PeerUp{"entry-1", 7});
+    Do(PeerConnected{"entry-1", 7});
     look = OnlyLook(MeetWorker(incarnation));
     StartRuns start = Start(1);
     start.worker = incarnation;
--- a/test/run_time_model_test.cc
+++ b/test/run_time_model_test.cc
@@ -1,4 +1,4 @@
-// What run time is expected for a caller's estimate.
+// Tests the run time that is predicted for a caller's estimate.
 #include "run_time_model.h"
 
 #include <boost/test/unit_test.hpp>
@@ -10,7 +10,7 @@
 
 BOOST_AUTO_TEST_SUITE(run_time_model)
 
-BOOST_AUTO_TEST_CASE(little_known_expects_the_estimate) {
+BOOST_AUTO_TEST_CASE(too_few_samples_return_the_estimate) {
   RunTimeModel model;
   for (int i = 0; i < 10; ++i) {
     model.Observe("checks", 100, 300);
@@ -28,8 +28,9 @@
   BOOST_TEST(model.Expect("other", 100) == 100u);
 }
 
-// Then most of what an estimate says of its task is chance.
-BOOST_AUTO_TEST_CASE(estimates_that_scatter_are_drawn_to_the_mean) {
+// If the estimates scatter as much as the work, they say little about a single
+// task.
+BOOST_AUTO_TEST_CASE(scattered_estimates_regress_to_the_mean) {
   RunTimeModel model;
   std::mt19937_64 random(1);
   std::lognormal_distribution<double> work(std::log(100), 0.4);
@@ -43,7 +44,7 @@
   BOOST_TEST(model.Expect("checks", 30) > 40u);
 }
 
-BOOST_AUTO_TEST_CASE(run_times_of_nothing_do_no_harm) {
+BOOST_AUTO_TEST_CASE(run_times_of_zero_are_accepted) {
   RunTimeModel model;
   for (int i = 0; i < 50; ++i) {
     model.Observe("checks", 0, 0);
--- a/test/run_world.cc
+++ b/test/run_world.cc
@@ -139,15 +139,15 @@
   link.silent = false;
   ++link.number;
   link.up_since = m_time.now();
-  ToEntry(entry, PeerUp{to.name, to.incarnation, DataCentreOf(agent)});
-  ToAgent(agent, PeerUp{from.name, from.incarnation});
+  ToEntry(entry, PeerConnected{to.name, to.incarnation, DataCentreOf(agent)});
+  ToAgent(agent, PeerConnected{from.name, from.incarnation});
   // What the entry remembers of the worker; at times it is the former one.
   const int64_t behind = m_time.Random(0, 3) == 0 ? 1 : 0;
-  ToAgent(
-      agent,
-      PeerSaid{from.name, from.incarnation,
-               WorkerHint{AnnouncementOf(
-                   agent, static_cast<int64_t>(to.worker_number) - behind)}});
+  ToAgent(agent,
+          PeerMessageReceived{
+              from.name, from.incarnation,
+              WorkerHint{AnnouncementOf(
+                  agent, static_cast<int64_t>(to.worker_number) - behind)}});
 }
 
 std::string RunWorld::WorkerName(const Agent& process, uint64_t number) const {
@@ -179,8 +179,9 @@
     return;
   }
   link.up = false;
-  const PeerDown to_agent{m_entries[entry].name, link.entry_incarnation};
-  const PeerDown to_entry{m_agents[agent].name, link.agent_incarnation};
+  const PeerDisconnected to_agent{m_entries[entry].name,
+                                  link.entry_incarnation};
+  const PeerDisconnected to_entry{m_agents[agent].name, link.agent_incarnation};
   m_time.After(told_after, [this, entry, agent, to_agent, to_entry] {
     // A process hears of its own links only, not of its predecessor's.
     if (m_entries[entry].incarnation == to_agent.incarnation) {
@@ -205,7 +206,7 @@
 }
 
 // The handshake needs both processes, and the network both ways.
-void RunWorld::DialAgain(int entry, int agent) {
+void RunWorld::RedialPeer(int entry, int agent) {
   const Link& link = LinkOf(entry, agent);
   const VirtualUs now = m_time.now();
   const bool answered =
@@ -416,8 +417,8 @@
       Trace(entry.name, *note);
     } else if (const auto* send = std::get_if<SendRunMessage>(&action)) {
       Transmit(entry, *send);
-    } else if (const auto* dial = std::get_if<internal::DialAgain>(&action)) {
-      DialAgain(entry.number, NumberIn(dial->peer));
+    } else if (const auto* dial = std::get_if<internal::RedialPeer>(&action)) {
+      RedialPeer(entry.number, NumberIn(dial->peer));
     }
   }
 }
@@ -451,13 +452,14 @@
     return;
   }
   ++m_messages;
-  m_time.At(ArrivalOn(link.to_agent),
-            [this, &entry, &agent, &link, body = send.body,
-             from = link.entry_incarnation, number = link.number] {
-              if (link.up && link.number == number) {
-                ToAgent(agent.number, PeerSaid{entry.name, from, body});
-              }
-            });
+  m_time.At(
+      ArrivalOn(link.to_agent),
+      [this, &entry, &agent, &link, body = send.body,
+       from = link.entry_incarnation, number = link.number] {
+        if (link.up && link.number == number) {
+          ToAgent(agent.number, PeerMessageReceived{entry.name, from, body});
+        }
+      });
 }
 
 void RunWorld::Transmit(const Agent& agent, const SendRunMessage& send) {
@@ -467,13 +469,14 @@
     return;
   }
   ++m_messages;
-  m_time.At(ArrivalOn(link.to_entry),
-            [this, &entry, &agent, &link, body = send.body,
-             from = link.agent_incarnation, number = link.number] {
-              if (link.up && link.number == number) {
-                ToEntry(entry.number, PeerSaid{agent.name, from, body});
-              }
-            });
+  m_time.At(
+      ArrivalOn(link.to_entry),
+      [this, &entry, &agent, &link, body = send.body,
+       from = link.agent_incarnation, number = link.number] {
+        if (link.up && link.number == number) {
+          ToEntry(entry.number, PeerMessageReceived{agent.name, from, body});
+        }
+      });
 }
 
 }  // namespace egretswitch::internal
--- a/test/run_world.h
+++ b/test/run_world.h
@@ -47,9 +47,9 @@
   TaskNeeds needs = kFakeTaskNeeds;
   uint32_t estimate_ms = 0;
   JobQueue queue;
-  VirtualUs patience = Ms(2500);  // of the first attempt
+  VirtualUs caller_timeout = Ms(2500);  // of the first attempt
   // Whether the caller waits so long in all, or at each attempt anew.
-  bool patience_is_total = false;
+  bool caller_timeout_is_total = false;
   // Its tasks crash each worker that starts them; they never end otherwise.
   bool crashes_workers = false;
   VirtualUs crashed_for = Ms(200);
@@ -216,7 +216,7 @@
   void KillAgent(int agent, bool silent);
   void Connect(int entry, int agent);
   void Disconnect(int entry, int agent, VirtualUs told_after);
-  void DialAgain(int entry, int agent);
+  void RedialPeer(int entry, int agent);
   void EndWorker(int agent);
   void ReplaceWorker(int agent);
   void Announce(int agent);
--- a/test/run_world_callers.cc
+++ b/test/run_world_callers.cc
@@ -45,9 +45,9 @@
 }
 
 VirtualUs RunWorld::PatienceLeft(const Caller& caller) const {
-  return caller.plan.patience_is_total
-             ? caller.plan.at + caller.plan.patience - m_time.now()
-             : caller.plan.patience;
+  return caller.plan.caller_timeout_is_total
+             ? caller.plan.at + caller.plan.caller_timeout - m_time.now()
+             : caller.plan.caller_timeout;
 }
 
 JobOutcome RunWorld::OutcomeOf(int job) const {
@@ -58,8 +58,8 @@
 
 void RunWorld::Submit(int caller) {
   Caller& from = m_callers[caller];
-  const VirtualUs patience = PatienceLeft(from);
-  if (from.ended || from.open_call.has_value() || patience <= 0) {
+  const VirtualUs caller_timeout = PatienceLeft(from);
+  if (from.ended || from.open_call.has_value() || caller_timeout <= 0) {
     return;
   }
   ++from.attempts;
@@ -80,10 +80,10 @@
                         from.plan.needs, from.plan.estimate_ms}};
   arrival.job.may_run_again = true;
   arrival.queue = from.plan.queue;
-  arrival.patience = absl::Microseconds(patience);
+  arrival.caller_timeout = absl::Microseconds(caller_timeout);
   m_time.After(m_caller_delay,
                [this, entry, arrival] { ToEntry(entry, arrival); });
-  m_time.After(patience, [this, caller, entry, call] {
+  m_time.After(caller_timeout, [this, caller, entry, call] {
     if (m_callers[caller].open_call == call) {
       AttemptEnded(caller, std::nullopt);
       m_time.After(m_caller_delay,
--- a/test/start_forecast_test.cc
+++ b/test/start_forecast_test.cc
@@ -1,4 +1,4 @@
-// When waiting jobs are expected to start.
+// Tests the predicted start of waiting jobs.
 #include "start_forecast.h"
 
 #include <boost/test/unit_test.hpp>
@@ -18,17 +18,17 @@
     return MakeOpenJob(arrival, 1, kStart);
   }
 
-  // Tasks wait from kStart on, and one is placed each `gap` until `now`.
+  // Tasks wait from kStart on, and one is placed every `gap` for a second.
   void PlaceUntil(absl::Duration gap) {
-    Look(Job(1, 1));
+    PredictWait(Job(1, 1));
     for (now = kStart; now < kStart + absl::Seconds(1); now += gap) {
-      forecast.NotePlaced("desk", 6000, now);
+      forecast.RecordPlacement("desk", 6000, now);
     }
   }
 
-  absl::Duration Look(const OpenJob& job) {
+  absl::Duration PredictWait(const OpenJob& job) {
     StartForecast::Pass pass = forecast.BeginPass(now);
-    const absl::Duration wait = pass.WaitOf(job);
+    const absl::Duration wait = pass.PredictedWait(job);
     forecast.EndPass(pass);
     return wait;
   }
@@ -42,22 +42,23 @@
 BOOST_FIXTURE_TEST_SUITE(start_forecast, StartForecastFixture)
 
 BOOST_AUTO_TEST_CASE(first_job_that_waits_has_no_forecast) {
-  forecast.NotePlaced("desk", 6000, now);
-  BOOST_TEST((Look(Job(9, 1)) == absl::ZeroDuration()));
+  forecast.RecordPlacement("desk", 6000, now);
+  BOOST_TEST((PredictWait(Job(9, 1)) == absl::ZeroDuration()));
 }
 
-BOOST_AUTO_TEST_CASE(job_behind_others_waits_for_their_room_and_its_own) {
+BOOST_AUTO_TEST_CASE(predicted_wait_covers_the_jobs_ahead_and_the_job_itself) {
   PlaceUntil(absl::Milliseconds(10));
   StartForecast::Pass pass = forecast.BeginPass(now);
-  pass.WaitOf(Job(10, 0));
-  const absl::Duration wait = pass.WaitOf(Job(10, 1));
+  pass.PredictedWait(Job(10, 0));
+  const absl::Duration wait = pass.PredictedWait(Job(10, 1));
   BOOST_TEST((wait > absl::Milliseconds(170)));
   BOOST_TEST((wait < absl::Milliseconds(230)));
 }
 
-BOOST_AUTO_TEST_CASE(most_urgent_that_waits_gets_room_twice_as_fast) {
+BOOST_AUTO_TEST_CASE(
+    most_urgent_waiting_job_is_predicted_to_start_twice_as_fast) {
   PlaceUntil(absl::Milliseconds(10));
-  const absl::Duration wait = Look(Job(10, 0));
+  const absl::Duration wait = PredictWait(Job(10, 0));
   BOOST_TEST((wait > absl::Milliseconds(40)));
   BOOST_TEST((wait < absl::Milliseconds(60)));
 }
@@ -66,15 +67,15 @@
   PlaceUntil(absl::Milliseconds(10));
   StartForecast::Pass pass = forecast.BeginPass(now);
   const OpenJob large = Job(100, 0);
-  pass.WaitOf(large);
+  pass.PredictedWait(large);
   pass.Drop(large);
-  BOOST_TEST((pass.WaitOf(Job(1, 0)) < absl::Milliseconds(10)));
+  BOOST_TEST((pass.PredictedWait(Job(1, 0)) < absl::Milliseconds(10)));
 }
 
-BOOST_AUTO_TEST_CASE(queue_that_was_empty_once_starts_without_a_forecast) {
+BOOST_AUTO_TEST_CASE(queue_that_was_empty_has_no_forecast_at_first) {
   PlaceUntil(absl::Milliseconds(10));
   forecast.EndPass(forecast.BeginPass(now));  // nothing waits
-  BOOST_TEST((Look(Job(100, 1)) == absl::ZeroDuration()));
+  BOOST_TEST((PredictWait(Job(100, 1)) == absl::ZeroDuration()));
 }
 
 // 220 ms of objective, 145 ms of a run with its margin.
@@ -86,10 +87,10 @@
                          kStart + absl::Milliseconds(40)));
 }
 
-BOOST_AUTO_TEST_CASE(caller_refused_for_a_longer_wait_comes_back_later) {
-  BOOST_TEST((ComeBackAfter(absl::Milliseconds(50), 0.5) <
-              ComeBackAfter(absl::Milliseconds(500), 0.5)));
-  BOOST_TEST((ComeBackAfter(absl::Hours(1), 1) <= absl::Seconds(5)));
+BOOST_AUTO_TEST_CASE(longer_predicted_wait_gives_a_longer_retry_delay) {
+  BOOST_TEST((SuggestedRetryDelay(absl::Milliseconds(50), 0.5) <
+              SuggestedRetryDelay(absl::Milliseconds(500), 0.5)));
+  BOOST_TEST((SuggestedRetryDelay(absl::Hours(1), 1) <= absl::Seconds(5)));
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/test/suspects_test.cc
+++ b/test/suspects_test.cc
@@ -16,8 +16,8 @@
 struct SuspectsAtAgentFixture : RunKeeperFixture {
   SuspectsAtAgentFixture() {
     MeetWorker("i-1");
-    Do(PeerUp{"entry-1", 1});
-    Do(PeerUp{"entry-2", 1});
+    Do(PeerConnected{"entry-1", 1});
+    Do(PeerConnected{"entry-2", 1});
   }
 
   // The ends that `entry` is told of at once, when it orders one task of `job`.
@@ -29,7 +29,7 @@
     start.runs[0].suspect_ms = suspect_ms;
     std::vector<RunEnd> ends;
     for (const RunReports& told :
-         SentTo<RunReports>(entry, Do(PeerSaid{entry, 1, start}))) {
+         SentTo<RunReports>(entry, Do(PeerMessageReceived{entry, 1, start}))) {
       for (const RunReport& report : told.reports) {
         ends.push_back(report.end);
       }
--- a/test/worker_lives_test.cc
+++ b/test/worker_lives_test.cc
@@ -21,7 +21,7 @@
 
   // The first life runs task 0 of job 5c0e.
   LookCall RunOneTaskOnFirstLife() {
-    Do(PeerUp{"entry-1", 7});
+    Do(PeerConnected{"entry-1", 7});
     const LookCall look = OnlyLook(MeetWorker(first));
     StartRuns start = Start(1);
     start.worker = first;
@@ -153,7 +153,7 @@
 }
 
 BOOST_AUTO_TEST_CASE(late_announcement_of_a_former_life_changes_nothing) {
-  Do(PeerUp{"entry-1", 7});
+  Do(PeerConnected{"entry-1", 7});
   MeetWorker(second);
   const auto actions = Do(WorkerAnnounced{Announcement(first)});
   BOOST_TEST(ActionsOf<LookCall>(actions).empty());
@@ -161,7 +161,7 @@
 }
 
 BOOST_AUTO_TEST_CASE(late_answer_of_a_former_life_changes_nothing) {
-  Do(PeerUp{"entry-1", 7});
+  Do(PeerConnected{"entry-1", 7});
   const LookCall look = OnlyLook(MeetWorker(second));
   AnswerAs(first, look);
   BOOST_TEST(keeper.worker().known());
--- a/test/worker_loss_test.cc
+++ b/test/worker_loss_test.cc
@@ -147,8 +147,8 @@
     crashing.work_ms.assign(1, 5000);
     crashing.crashes_workers = true;
     crashing.crashed_for = Ms(4000);
-    crashing.patience = Ms(6000);
-    crashing.patience_is_total = true;
+    crashing.caller_timeout = Ms(6000);
+    crashing.caller_timeout_is_total = true;
     RunWorld world(WorldOf(seed, plans));
     world.Run(kDay);
     BOOST_TEST(world.CrashesUnder(25) <= 3 * world.OutcomeOf(25).attempts,
