--- a/bench/dispatch_lab.cc
+++ b/bench/dispatch_lab.cc
@@ -61,14 +61,14 @@
                VirtualUs from,
                VirtualUs to) {
   double total = 0;
-  double sum = 0;
+  double worth_earned = 0;
   for (size_t i = 0; i < jobs.size(); ++i) {
     if (jobs[i].plan.at >= from && jobs[i].plan.at < to) {
       total += jobs[i].worth;
-      sum += earned[i];
+      worth_earned += earned[i];
     }
   }
-  return total == 0 ? 1 : sum / total;
+  return total == 0 ? 1 : worth_earned / total;
 }
 
 // The share of a kind's largest tenth of jobs that was served on time, over the
--- a/src/job_dispatcher.cc
+++ b/src/job_dispatcher.cc
@@ -293,14 +293,16 @@
   return SuggestedRetryDelay(wait, jitter);
 }
 
-void JobDispatcher::LogRoutine(std::string_view event,
+void JobDispatcher::LogRoutine(std::string_view event_name,
                                std::vector<NoteField> fields) {
   m_actions.push_back(
-      NoteStateChange{std::string(event), std::move(fields), true});
+      NoteStateChange{std::string(event_name), std::move(fields), true});
 }
 
-void JobDispatcher::Log(std::string_view event, std::vector<NoteField> fields) {
-  m_actions.push_back(NoteStateChange{std::string(event), std::move(fields)});
+void JobDispatcher::Log(std::string_view event_name,
+                        std::vector<NoteField> fields) {
+  m_actions.push_back(
+      NoteStateChange{std::string(event_name), std::move(fields)});
 }
 
 }  // namespace egretswitch::internal
--- a/src/job_dispatcher.h
+++ b/src/job_dispatcher.h
@@ -86,7 +86,7 @@
                       const RunReport& report);
   void EndAfterLosses(OpenJob& job, const OpenTask& task, JobAnswer answer);
   void RecordIfLost(const WorkerSeat& worker, const WorkerStatus& reported);
-  std::string LossesText(const std::vector<LostRun>& lost) const;
+  std::string LossesText(const std::vector<LostRun>& lost_runs) const;
   void TaskNeverStarted(OpenJob& job,
                         OpenTask& task,
                         WorkerSeat& worker,
@@ -118,8 +118,8 @@
   void Answer(CallId call, JobAnswer answer);
   void SendTo(WorkerSeat& worker, RunMessageBody body);
   absl::Duration RetryAfter(absl::Duration wait = absl::ZeroDuration());
-  void Log(std::string_view event, std::vector<NoteField> fields);
-  void LogRoutine(std::string_view event, std::vector<NoteField> fields);
+  void Log(std::string_view event_name, std::vector<NoteField> fields);
+  void LogRoutine(std::string_view event_name, std::vector<NoteField> fields);
 
   const DispatchPolicy m_policy;
   JobDispatcherActions m_actions;
--- a/src/job_dispatcher_reports.cc
+++ b/src/job_dispatcher_reports.cc
@@ -29,15 +29,17 @@
 }  // namespace
 
 // "agent-1 worker_crashed 650 ms ago beside 5 others,agent-7 ..."
-std::string JobDispatcher::LossesText(const std::vector<LostRun>& lost) const {
-  const std::set<std::string> agents = AgentsOf(lost);
-  return absl::StrJoin(lost, ",", [&](std::string* text, const LostRun& run) {
-    absl::StrAppend(
-        text, run.agent, " ", std::string(RunLossName(run.loss)), " ",
-        absl::ToInt64Milliseconds(m_now.mono - run.reported_at),
-        " ms ago beside ", m_worker_losses.LostAround(run.reported_at, agents),
-        " others");
-  });
+std::string JobDispatcher::LossesText(
+    const std::vector<LostRun>& lost_runs) const {
+  const std::set<std::string> agents = AgentsOf(lost_runs);
+  return absl::StrJoin(
+      lost_runs, ",", [&](std::string* text, const LostRun& run) {
+        absl::StrAppend(
+            text, run.agent, " ", std::string(RunLossName(run.loss)), " ",
+            absl::ToInt64Milliseconds(m_now.mono - run.reported_at),
+            " ms ago beside ",
+            m_worker_losses.LostAround(run.reported_at, agents), " others");
+      });
 }
 
 void JobDispatcher::On(const PeerConnected& event) {
@@ -124,8 +126,9 @@
 void JobDispatcher::RecordIfLost(const WorkerSeat& worker,
                                  const WorkerStatus& reported) {
   const WorkerStatus& former = worker.status;
-  const bool lost = !reported.accepting || reported.worker != former.worker;
-  if (former.accepting && lost && !worker.evacuated) {
+  const bool left_or_lost =
+      !reported.accepting || reported.worker != former.worker;
+  if (former.accepting && left_or_lost && !worker.evacuated) {
     m_worker_losses.Note(worker.agent, m_now.mono);
   }
 }
@@ -224,7 +227,7 @@
 void JobDispatcher::EndAfterLosses(OpenJob& job,
                                    const OpenTask& task,
                                    JobAnswer answer) {
-  Log("task abandoned after worker losses",
+  Log("task given up after worker losses",
       {{"job", job.job.id},
        {"task", absl::StrCat(task.step, "/", task.index)},
        {"reason", answer.reason},
--- a/src/job_dispatcher_time.cc
+++ b/src/job_dispatcher_time.cc
@@ -131,11 +131,11 @@
       }
       WorkerSeat& worker = *m_pool.Find(task.agent);
       const bool replaced = worker.incarnation != task.agent_incarnation;
-      const MonoTime last_sent =
+      const MonoTime last_message_at =
           replaced ? std::max(task.sent_at, worker.replaced_at)
                    : worker.last_sent;
       const bool lost = replaced || worker.Suspect(m_now.mono);
-      if (lost && m_now.mono - last_sent > kRunCertainlyOver) {
+      if (lost && m_now.mono - last_message_at > kRunCertainlyOver) {
         worker.runs -= std::min(worker.runs, 1u);
         Requeue(*job, task, RunCounter::kRetriesAgentLost);
       }
