--- a/test/job_dispatcher_test.cc
+++ b/test/job_dispatcher_test.cc
@@ -48,9 +48,9 @@
   WorkerStatus status = Status();
   status.evacuations = 7;
   const auto first = Report("agent-1", {}, status);
-  const auto sent = SentTo<Evacuations>("agent-1", first);
-  BOOST_REQUIRE(sent.size() == 1u);
-  BOOST_TEST(sent[0].through == 8u);
+  const auto updates = SentTo<Evacuations>("agent-1", first);
+  BOOST_REQUIRE(updates.size() == 1u);
+  BOOST_TEST(updates[0].through == 8u);
   const auto second = Report("agent-1", {}, status);
   BOOST_TEST(SentTo<Evacuations>("agent-1", second).empty());
 }
