--- a/cmake/runs.cmake
+++ b/cmake/runs.cmake
@@ -16,7 +16,7 @@
   src/open_job.cc
   src/recent_ends.cc
   src/remote_clock.cc
-  src/room_promises.cc
+  src/capacity_reservations.cc
   src/run_counters.cc
   src/run_ends.cc
   src/run_events.cc
@@ -37,5 +37,5 @@
   src/worker_looks.cc
   src/worker_losses.cc
   src/worker_pool.cc
-  src/worker_reach.cc)
+  src/worker_subset.cc)
 target_link_libraries(egretswitch_runs PUBLIC egretswitch_core)
--- a/cmake/test_runs.cmake
+++ b/cmake/test_runs.cmake
@@ -14,7 +14,7 @@
   test/usual_patience_test.cc
   test/worker_lives_test.cc
   test/worker_pool_test.cc
-  test/worker_reach_test.cc
+  test/worker_subset_test.cc
   LIBS egretswitch_runs)
 add_library(egretswitch_run_world STATIC
   test/fake_run_worker.cc
--- a/src/room_promises.cc
+++ b/src/capacity_reservations.cc
@@ -1,4 +1,4 @@
-#include "room_promises.h"
+#include "capacity_reservations.h"
 
 #include <algorithm>
 
@@ -13,13 +13,13 @@
 
 }  // namespace
 
-void RoomPromises::Make(const std::string& entry,
+void CapacityReservations::Reserve(const std::string& entry,
                         const TaskNeeds& needs,
                         MonoTime now) {
   m_promises[entry] = {needs, now + kPromiseLife};
 }
 
-TaskNeeds RoomPromises::KeptFrom(const std::string& entry, MonoTime now) const {
+TaskNeeds CapacityReservations::ReservedForOthers(const std::string& entry, MonoTime now) const {
   TaskNeeds kept;
   for (const auto& [name, promise] : m_promises) {
     if (name != entry && now < promise.until) {
@@ -31,7 +31,7 @@
   return kept;
 }
 
-MonoTime RoomPromises::NextLapse(MonoTime now) const {
+MonoTime CapacityReservations::NextExpiry(MonoTime now) const {
   MonoTime next = absl::InfiniteDuration();
   for (const auto& [name, promise] : m_promises) {
     if (now < promise.until) {
--- a/src/room_promises.h
+++ b/src/capacity_reservations.h
@@ -2,13 +2,13 @@
 // the others until that entry has had time to use it.
 //
 //   promises.Make("entry-1", {6200, 64, 0}, now);
-//   promises.KeptFrom("entry-2", now)   -> {6200, 64, 0}
-//   promises.KeptFrom("entry-1", now)   -> {0, 0, 0}
+//   promises.ReservedForOthers("entry-2", now)   -> {6200, 64, 0}
+//   promises.ReservedForOthers("entry-1", now)   -> {0, 0, 0}
 //
 // Without it each entry that asks sees the same room, all but one send a start
 // for nothing, and at overload these starts fill the links of small entries.
-#ifndef EGRETSWITCH_SRC_ROOM_PROMISES_H_
-#define EGRETSWITCH_SRC_ROOM_PROMISES_H_
+#ifndef EGRETSWITCH_SRC_CAPACITY_RESERVATIONS_H_
+#define EGRETSWITCH_SRC_CAPACITY_RESERVATIONS_H_
 
 #include <map>
 #include <string>
@@ -18,18 +18,18 @@
 
 namespace egretswitch::internal {
 
-class RoomPromises {
+class CapacityReservations {
  public:
   // In place of an earlier promise to the entry.
-  void Make(const std::string& entry, const TaskNeeds& needs, MonoTime now);
+  void Reserve(const std::string& entry, const TaskNeeds& needs, MonoTime now);
   // The entry has used its promise, or is gone.
-  void Drop(const std::string& entry) { m_promises.erase(entry); }
+  void Release(const std::string& entry) { m_promises.erase(entry); }
 
   // What is promised to others than `entry`.
-  TaskNeeds KeptFrom(const std::string& entry, MonoTime now) const;
+  TaskNeeds ReservedForOthers(const std::string& entry, MonoTime now) const;
 
   // When the next promise lapses; infinite: there is none.
-  MonoTime NextLapse(MonoTime now) const;
+  MonoTime NextExpiry(MonoTime now) const;
 
  private:
   struct Promise {
@@ -42,4 +42,4 @@
 
 }  // namespace egretswitch::internal
 
-#endif  // EGRETSWITCH_SRC_ROOM_PROMISES_H_
+#endif  // EGRETSWITCH_SRC_CAPACITY_RESERVATIONS_H_
--- a/src/entry_contacts.cc
+++ b/src/entry_contacts.cc
@@ -57,18 +57,18 @@
 }
 
 void EntryContacts::WantsRoom(const std::string& entry,
-                              const std::vector<RoomWanted>& wanted) {
+                              const std::vector<CapacityRequest>& wanted) {
   Contact& contact = m_contacts[entry];
   NoteWant(contact, m_turn, ++m_wants);
   contact.wanted = wanted;
 }
 
 void EntryContacts::WantsRoomToo(const std::string& entry,
-                                 const RoomWanted& wanted) {
+                                 const CapacityRequest& wanted) {
   Contact& contact = m_contacts[entry];
   NoteWant(contact, m_turn, ++m_wants);
   const auto next = std::find_if(contact.wanted.begin(), contact.wanted.end(),
-                                 [&wanted](const RoomWanted& other) {
+                                 [&wanted](const CapacityRequest& other) {
                                    return other.urgency >= wanted.urgency;
                                  });
   const bool known =
@@ -81,7 +81,7 @@
 MonoTime EntryContacts::SilentFrom(const std::string& entry) const {
   const auto it = m_contacts.find(entry);
   return it == m_contacts.end() ? absl::InfiniteDuration()
-                                : it->second.last_word + kEntrySilence;
+                                : it->second.last_word + kRunLease;
 }
 
 void EntryContacts::Report(const std::string& entry, const RunReport& report) {
@@ -125,7 +125,7 @@
 // enough for one. Who is told and has no use for it leaves it to the next one,
 // who is told with the next event.
 void EntryContacts::NoticeRoom(TaskNeeds free,
-                               RoomPromises& promises,
+                               CapacityReservations& promises,
                                MonoTime now) {
   std::set<const Contact*> told;
   for (const Candidate& candidate : InOrder()) {
@@ -134,7 +134,7 @@
     if (first && Fits(contact.wanted[candidate.position].needs, free)) {
       const TaskNeeds needs = contact.wanted[candidate.position].needs;
       Subtract(free, needs);
-      promises.Make(*candidate.entry, needs, now);
+      promises.Reserve(*candidate.entry, needs, now);
       contact.report_due = true;
       told.insert(&contact);
       TakeTurn(contact, candidate.position);
@@ -145,7 +145,7 @@
 // Weighted fair queueing: an entry with ten times as many tasks waiting gets
 // ten turns for one of the other.
 void EntryContacts::TakeTurn(Contact& contact, size_t position) {
-  RoomWanted& wanted = contact.wanted[position];
+  CapacityRequest& wanted = contact.wanted[position];
   m_turn = std::max(m_turn, contact.turn);
   contact.turn = m_turn + 1.0 / std::max(wanted.tasks, 1u);
   if (wanted.tasks <= 1) {
--- a/src/entry_contacts.h
+++ b/src/entry_contacts.h
@@ -14,7 +14,7 @@
 
 #include "absl/functional/function_ref.h"
 #include "clock.h"
-#include "room_promises.h"
+#include "capacity_reservations.h"
 #include "run_events.h"
 
 namespace egretswitch::internal {
@@ -37,9 +37,9 @@
   // The entry is told as soon as there is room for what it wants, the most
   // urgent first; in place of what it wanted before.
   void WantsRoom(const std::string& entry,
-                 const std::vector<RoomWanted>& wanted);
+                 const std::vector<CapacityRequest>& wanted);
   // Besides what it wants already.
-  void WantsRoomToo(const std::string& entry, const RoomWanted& wanted);
+  void WantsRoomToo(const std::string& entry, const CapacityRequest& wanted);
 
   // When the entry's silence ends its runs; infinite: it is not known.
   MonoTime SilentFrom(const std::string& entry) const;
@@ -52,7 +52,7 @@
   // Tells as many of those that want room as `free` is enough for, and promises
   // it to each: the most urgent first, equals in turn, and those that want more
   // more often.
-  void NoticeRoom(TaskNeeds free, RoomPromises& promises, MonoTime now);
+  void NoticeRoom(TaskNeeds free, CapacityReservations& promises, MonoTime now);
 
   // One message for each linked entry that is to be told something.
   // `free_for` gives the worker's room as that entry may use it.
@@ -67,7 +67,7 @@
     bool linked = false;
     MonoTime last_word = absl::ZeroDuration();  // sent, not received
     uint64_t started_through = 0;
-    std::vector<RoomWanted> wanted;  // by urgency; none: it wants no room
+    std::vector<CapacityRequest> wanted;  // by urgency; none: it wants no room
     double turn = 0;                 // the lowest is told next
     uint64_t wanted_from = 0;        // of equal turns, the one that asked first
     bool report_due = false;
--- a/src/evacuations.cc
+++ b/src/evacuations.cc
@@ -26,7 +26,7 @@
   return only;
 }
 
-Evacuations AfterRead(const Evacuations& held, const EvacuationsRead& read) {
+Evacuations ApplyRead(const Evacuations& held, const EvacuationsRead& read) {
   if (read.through < held.through) {
     return held;
   }
--- a/src/evacuations.h
+++ b/src/evacuations.h
@@ -28,7 +28,7 @@
   bool operator==(const Evacuations&) const = default;
   MSGPACK_DEFINE(through, data_centres)
 
-  bool Known() const { return through > 0; }
+  bool IsLoaded() const { return through > 0; }
   bool Covers(std::string_view data_centre) const;
 };
 
@@ -56,7 +56,7 @@
 
 // What is known after the read. What was evacuated stays so until its taking
 // back is read: by its own record, or by its absence from a whole read.
-Evacuations AfterRead(const Evacuations& held, const EvacuationsRead& read);
+Evacuations ApplyRead(const Evacuations& held, const EvacuationsRead& read);
 
 }  // namespace egretswitch::internal
 
--- a/src/job_dispatcher.cc
+++ b/src/job_dispatcher.cc
@@ -28,7 +28,7 @@
 JobDispatcherActions JobDispatcher::Handle(const JobDispatcherEvent& event,
                                            Now now) {
   m_now = now;
-  if (now.mono - m_last_handled > kPauseLimit) {
+  if (now.mono - m_last_handled > kMaxEntryPause) {
     EndAfterPause();
   }
   m_last_handled = now.mono;
@@ -159,23 +159,23 @@
 }
 
 // Takes the room when there is some.
-WorkerSeat* JobDispatcher::FindSeat(const OpenJob& job, const OpenTask& task) {
+PooledWorker* JobDispatcher::FindSeat(const OpenJob& job, const OpenTask& task) {
   const TaskNeeds& needs = job.StepOf(task).needs;
   if (m_exhausted.Covers(job.queue.service, needs)) {
     return nullptr;
   }
-  WorkerSeat* seat =
+  PooledWorker* worker =
       m_pool.Pick(job.queue.service, needs, task.avoid, m_now.mono);
-  if (seat == nullptr && !task.avoid.empty()) {
-    seat = m_pool.Pick(job.queue.service, needs, {}, m_now.mono);
+  if (worker == nullptr && !task.avoid.empty()) {
+    worker = m_pool.Pick(job.queue.service, needs, {}, m_now.mono);
   }
-  if (seat == nullptr) {
+  if (worker == nullptr) {
     m_exhausted.Add(job.queue.service, needs);
     return nullptr;
   }
-  m_pool.Take(*seat, needs, 1);
+  m_pool.ChargeStart(*worker, needs, 1);
   m_forecast.NotePlaced(job.queue.service, needs.millicores, m_now.mono);
-  return seat;
+  return worker;
 }
 
 void JobDispatcher::DispatchJob(OpenJob& job) {
@@ -186,17 +186,17 @@
         m_now.mono < task.not_before) {
       continue;
     }
-    WorkerSeat* seat = FindSeat(job, task);
-    if (seat == nullptr) {
+    PooledWorker* worker = FindSeat(job, task);
+    if (worker == nullptr) {
       continue;
     }
     task.state = OpenTask::State::kRunning;
-    task.agent = seat->agent;
-    task.agent_incarnation = seat->incarnation;
+    task.agent = worker->agent;
+    task.agent_incarnation = worker->incarnation;
     task.sent_at = m_now.mono;
     ++task.run;
     --job.waiting;
-    chosen[{task.step, seat->agent}].push_back(&task);
+    chosen[{task.step, worker->agent}].push_back(&task);
   }
   for (const auto& [place, tasks] : chosen) {
     SendStarts(job, place.first, *m_pool.Find(place.second), tasks);
@@ -205,14 +205,14 @@
 
 void JobDispatcher::SendStarts(OpenJob& job,
                                uint32_t step,
-                               WorkerSeat& seat,
+                               PooledWorker& worker,
                                const std::vector<OpenTask*>& tasks) {
   job.possibly_started += static_cast<uint32_t>(tasks.size());
   job.first_sent_at = std::min(job.first_sent_at, m_now.mono);
   StartRuns start;
-  start.sent_at_ms = seat.clock.Estimate(m_now.mono).value_or(0);
-  start.sequence = seat.last_sequence;
-  start.worker = seat.status.worker;
+  start.sent_at_ms = worker.clock.Estimate(m_now.mono).value_or(0);
+  start.sequence = worker.last_sequence;
+  start.worker = worker.status.worker;
   start.attempt = job.order;
   start.job = job.job.id;
   start.spec = job.job.spec;
@@ -224,7 +224,7 @@
         {task->index, task->run, SuspectMs(task->lost, m_worker_losses)});
   }
   m_counters.Add(RunCounter::kRunsStarted, tasks.size());
-  SendTo(seat, std::move(start));
+  SendTo(worker, std::move(start));
 }
 
 // ---- Ends
@@ -244,10 +244,10 @@
         task.state != OpenTask::State::kStopping) {
       continue;
     }
-    WorkerSeat& seat = *m_pool.Find(task.agent);
-    seat.runs -= std::min(seat.runs, 1u);
-    if (told.insert(task.agent).second && !seat.Suspect(m_now.mono)) {
-      SendTo(seat, StopRuns{.job = job.job.id, .step = 0, .runs = {}});
+    PooledWorker& worker = *m_pool.Find(task.agent);
+    worker.runs -= std::min(worker.runs, 1u);
+    if (told.insert(task.agent).second && !worker.Suspect(m_now.mono)) {
+      SendTo(worker, StopRuns{.job = job.job.id, .step = 0, .runs = {}});
     }
   }
 }
@@ -278,10 +278,10 @@
   m_actions.push_back(AnswerJob{call, std::move(answer)});
 }
 
-void JobDispatcher::SendTo(WorkerSeat& seat, RunMessageBody body) {
-  seat.last_sent = m_now.mono;
+void JobDispatcher::SendTo(PooledWorker& worker, RunMessageBody body) {
+  worker.last_sent = m_now.mono;
   m_actions.push_back(
-      SendRunMessage{seat.agent, seat.incarnation, std::move(body)});
+      SendRunMessage{worker.agent, worker.incarnation, std::move(body)});
 }
 
 absl::Duration JobDispatcher::RetryAfter(absl::Duration wait) {
--- a/src/job_dispatcher.h
+++ b/src/job_dispatcher.h
@@ -72,34 +72,34 @@
 
   void CorrectEstimates(OpenJob& job) const;
   void EndAfterPause();
-  void TellEvacuations(WorkerSeat& seat);
-  void AskForRunsOrderedBefore(WorkerSeat& seat);
-  void TakeReport(WorkerSeat& seat, const RunReport& report);
+  void TellEvacuations(PooledWorker& worker);
+  void AskForRunsOrderedBefore(PooledWorker& worker);
+  void TakeReport(PooledWorker& worker, const RunReport& report);
   void TaskDone(OpenJob& job,
                 OpenTask& task,
-                WorkerSeat& seat,
+                PooledWorker& worker,
                 uint32_t run_ms);
-  void TaskFailed(OpenJob& job, OpenTask& task, WorkerSeat& seat);
+  void TaskFailed(OpenJob& job, OpenTask& task, PooledWorker& worker);
   void TaskLostWorker(OpenJob& job,
                       OpenTask& task,
-                      WorkerSeat& seat,
+                      PooledWorker& worker,
                       const RunReport& report);
   void EndForLosses(OpenJob& job, const OpenTask& task, JobAnswer answer);
-  void NoteIfLost(const WorkerSeat& seat, const WorkerStatus& told);
+  void NoteIfLost(const PooledWorker& worker, const WorkerStatus& told);
   std::string LossesText(const std::vector<LostRun>& lost) const;
   void TaskNeverStarted(OpenJob& job,
                         OpenTask& task,
-                        WorkerSeat& seat,
+                        PooledWorker& worker,
                         RunEnd end);
   void Requeue(OpenJob& job, OpenTask& task, RunCounter reason);
-  void NoteBadRun(WorkerSeat& seat, const std::string& job);
+  void NoteBadRun(PooledWorker& worker, const std::string& job);
 
   void Dispatch();
   void DispatchJob(OpenJob& job);
-  WorkerSeat* FindSeat(const OpenJob& job, const OpenTask& task);
+  PooledWorker* FindSeat(const OpenJob& job, const OpenTask& task);
   void SendStarts(OpenJob& job,
                   uint32_t step,
-                  WorkerSeat& seat,
+                  PooledWorker& worker,
                   const std::vector<OpenTask*>& tasks);
   void AskForWorkersThatFit();
   void SetReachByWork();
@@ -116,7 +116,7 @@
   void StopRunsOf(OpenJob& job);
   void Finish(const std::string& id, JobAnswer answer);
   void Answer(CallId call, JobAnswer answer);
-  void SendTo(WorkerSeat& seat, RunMessageBody body);
+  void SendTo(PooledWorker& worker, RunMessageBody body);
   absl::Duration RetryAfter(absl::Duration wait = absl::ZeroDuration());
   void Log(std::string_view what, std::vector<NoteField> fields);
   void LogRoutine(std::string_view what, std::vector<NoteField> fields);
--- a/src/job_dispatcher_reports.cc
+++ b/src/job_dispatcher_reports.cc
@@ -2,7 +2,7 @@
 // what became of each run.
 //
 //   RunReports{5c0e/0/0 kDone}    -> the last one answers the job
-//   RunReports{5c0e/0/1 kNoRoom}  -> the task waits again
+//   RunReports{5c0e/0/1 kNoCapacity}  -> the task waits again
 #include <algorithm>
 #include <set>
 #include <string>
@@ -41,32 +41,32 @@
 }
 
 void JobDispatcher::On(const PeerUp& event) {
-  WorkerSeat& seat = m_pool.LinkUp(event.name, event.incarnation,
+  PooledWorker& worker = m_pool.LinkUp(event.name, event.incarnation,
                                    event.data_centre, m_now.mono);
-  seat.evacuations_told = 0;
-  if (m_pool.evacuations().Known()) {
-    TellEvacuations(seat);
+  worker.evacuations_sent = 0;
+  if (m_pool.evacuations().IsLoaded()) {
+    TellEvacuations(worker);
   }
-  AskForRunsOrderedBefore(seat);
+  AskForRunsOrderedBefore(worker);
 }
 
 // What was under way on the former link is lost, orders and reports alike.
-void JobDispatcher::AskForRunsOrderedBefore(WorkerSeat& seat) {
+void JobDispatcher::AskForRunsOrderedBefore(PooledWorker& worker) {
   RenewRuns renewal;
   for (const auto& [id, job] : m_jobs) {
     for (const OpenTask& task : job->tasks) {
       const bool ordered = task.state == OpenTask::State::kRunning ||
                            task.state == OpenTask::State::kStopping;
-      if (ordered && task.agent == seat.agent &&
-          task.agent_incarnation == seat.incarnation) {
+      if (ordered && task.agent == worker.agent &&
+          task.agent_incarnation == worker.incarnation) {
         renewal.ordered_before.push_back(
             {{id, task.step, task.index}, task.run, job->order});
       }
     }
   }
   if (!renewal.ordered_before.empty()) {
-    renewal.sent_at_ms = seat.clock.Estimate(m_now.mono).value_or(0);
-    SendTo(seat, std::move(renewal));
+    renewal.sent_at_ms = worker.clock.Estimate(m_now.mono).value_or(0);
+    SendTo(worker, std::move(renewal));
   }
 }
 
@@ -77,57 +77,57 @@
   const bool changed =
       event.state.data_centres != m_pool.evacuations().data_centres;
   m_pool.SetEvacuations(event.state);
-  for (auto& [name, seat] : m_pool.seats()) {
-    if (changed && seat.linked) {
-      TellEvacuations(seat);
+  for (auto& [name, worker] : m_pool.workers()) {
+    if (changed && worker.linked) {
+      TellEvacuations(worker);
     }
   }
 }
 
-void JobDispatcher::TellEvacuations(WorkerSeat& seat) {
-  seat.evacuations_told = m_pool.evacuations().through;
-  SendTo(seat, m_pool.evacuations());
+void JobDispatcher::TellEvacuations(PooledWorker& worker) {
+  worker.evacuations_sent = m_pool.evacuations().through;
+  SendTo(worker, m_pool.evacuations());
 }
 
 void JobDispatcher::On(const PeerDown& event) {
-  WorkerSeat* seat = m_pool.Find(event.name);
-  if (seat != nullptr && seat->incarnation == event.incarnation) {
-    seat->linked = false;
-    seat->unlinked_at = m_now.mono;
+  PooledWorker* worker = m_pool.Find(event.name);
+  if (worker != nullptr && worker->incarnation == event.incarnation) {
+    worker->linked = false;
+    worker->unlinked_at = m_now.mono;
   }
 }
 
 void JobDispatcher::On(const PeerSaid& event) {
-  WorkerSeat* seat = m_pool.Find(event.name);
+  PooledWorker* worker = m_pool.Find(event.name);
   const auto* reports = std::get_if<RunReports>(&event.body);
-  if (seat == nullptr || reports == nullptr ||
-      seat->incarnation != event.incarnation) {
+  if (worker == nullptr || reports == nullptr ||
+      worker->incarnation != event.incarnation) {
     return;
   }
-  NoteIfLost(*seat, reports->worker);
-  m_pool.Update(*seat, *reports, m_now.mono);
+  NoteIfLost(*worker, reports->worker);
+  m_pool.Update(*worker, *reports, m_now.mono);
   // Another entry may have told it of an evacuation that has ended since.
   const uint64_t through = m_pool.evacuations().through;
-  if (std::max(reports->worker.evacuations, seat->evacuations_told) < through) {
-    TellEvacuations(*seat);
+  if (std::max(reports->worker.evacuations, worker->evacuations_sent) < through) {
+    TellEvacuations(*worker);
   }
   for (const RunReport& report : reports->reports) {
-    TakeReport(*seat, report);
+    TakeReport(*worker, report);
   }
 }
 
 // A worker that leaves in order can't be told from one that is lost here; it
 // speaks for the tasks that others lose meanwhile.
-void JobDispatcher::NoteIfLost(const WorkerSeat& seat,
+void JobDispatcher::NoteIfLost(const PooledWorker& worker,
                                const WorkerStatus& told) {
-  const WorkerStatus& former = seat.status;
+  const WorkerStatus& former = worker.status;
   const bool gone = !told.accepting || told.worker != former.worker;
-  if (former.accepting && gone && !seat.evacuated) {
-    m_worker_losses.Note(seat.agent, m_now.mono);
+  if (former.accepting && gone && !worker.evacuated) {
+    m_worker_losses.Record(worker.agent, m_now.mono);
   }
 }
 
-void JobDispatcher::TakeReport(WorkerSeat& seat, const RunReport& report) {
+void JobDispatcher::TakeReport(PooledWorker& worker, const RunReport& report) {
   const auto it = m_jobs.find(report.task.job);
   if (it == m_jobs.end()) {
     return;  // answered or given up before
@@ -135,26 +135,26 @@
   OpenJob& job = *it->second;
   OpenTask* task = job.FindTask(report.task);
   const bool current = task != nullptr && report.attempt == job.order &&
-                       task->run == report.run && task->agent == seat.agent &&
+                       task->run == report.run && task->agent == worker.agent &&
                        (task->state == OpenTask::State::kRunning ||
                         task->state == OpenTask::State::kStopping);
   if (!current) {
     return;
   }
-  seat.runs -= std::min(seat.runs, 1u);
+  worker.runs -= std::min(worker.runs, 1u);
   if (NeverStarted(report.end)) {
-    TaskNeverStarted(job, *task, seat, report.end);
+    TaskNeverStarted(job, *task, worker, report.end);
     return;
   }
   switch (report.end) {
     case RunEnd::kDone:
-      TaskDone(job, *task, seat, report.run_ms);
+      TaskDone(job, *task, worker, report.run_ms);
       return;
     case RunEnd::kFailed:
-      TaskFailed(job, *task, seat);
+      TaskFailed(job, *task, worker);
       return;
     case RunEnd::kWorkerLost:
-      TaskLostWorker(job, *task, seat, report);
+      TaskLostWorker(job, *task, worker, report);
       return;
     default:
       Requeue(job, *task, RunCounter::kRetriesStopped);
@@ -163,14 +163,14 @@
 
 void JobDispatcher::TaskDone(OpenJob& job,
                              OpenTask& task,
-                             WorkerSeat& seat,
+                             PooledWorker& worker,
                              uint32_t run_ms) {
   m_counters.Add(RunCounter::kRunsDone);
   m_run_times.Observe(job.queue.name, job.callers_estimates_ms[task.step],
                       run_ms);
   const uint32_t usual_ms =
       m_policy.learn_slowness ? job.StepOf(task).estimate_ms : run_ms;
-  m_pool.RunWentWell(seat, run_ms, usual_ms);
+  m_pool.RecordGoodRun(worker, run_ms, usual_ms);
   task.state = OpenTask::State::kDone;
   task.run_ms = run_ms;
   ++job.done;
@@ -179,10 +179,10 @@
   }
 }
 
-void JobDispatcher::TaskFailed(OpenJob& job, OpenTask& task, WorkerSeat& seat) {
+void JobDispatcher::TaskFailed(OpenJob& job, OpenTask& task, PooledWorker& worker) {
   m_counters.Add(RunCounter::kRunsFailed);
-  NoteBadRun(seat, job.job.id);
-  task.avoid.insert(seat.agent);
+  NoteBadRun(worker, job.job.id);
+  task.avoid.insert(worker.agent);
   if (++task.failures < job.queue.max_attempts) {
     Requeue(job, task, RunCounter::kRetriesFailed);
     return;
@@ -195,11 +195,11 @@
 // it is back it is as good as any other.
 void JobDispatcher::TaskLostWorker(OpenJob& job,
                                    OpenTask& task,
-                                   WorkerSeat& seat,
+                                   PooledWorker& worker,
                                    const RunReport& report) {
-  m_worker_losses.Note(seat.agent, m_now.mono);
-  task.avoid.insert(seat.agent);
-  task.lost.push_back({seat.agent, m_now.mono, report.loss, report.run_ms});
+  m_worker_losses.Record(worker.agent, m_now.mono);
+  task.avoid.insert(worker.agent);
+  task.lost.push_back({worker.agent, m_now.mono, report.loss, report.run_ms});
   switch (JudgeLostRuns(task.lost, m_worker_losses)) {
     case LossVerdict::kTryAgain:
       Requeue(job, task, RunCounter::kRetriesWorkerLost);
@@ -229,21 +229,21 @@
 
 void JobDispatcher::TaskNeverStarted(OpenJob& job,
                                      OpenTask& task,
-                                     WorkerSeat& seat,
+                                     PooledWorker& worker,
                                      RunEnd end) {
   --job.possibly_started;
   if (end == RunEnd::kOldNumber) {
     task.run += kRunNumberJump;
   }
   if (end == RunEnd::kRefused) {
-    NoteBadRun(seat, job.job.id);
-    task.avoid.insert(seat.agent);
+    NoteBadRun(worker, job.job.id);
+    task.avoid.insert(worker.agent);
   }
-  if (end == RunEnd::kSuspectBeside && !task.avoid.insert(seat.agent).second) {
+  if (end == RunEnd::kSuspectBeside && !task.avoid.insert(worker.agent).second) {
     task.not_before = m_now.mono + kSuspectPause;
   }
   Requeue(job, task,
-          end == RunEnd::kNoRoom ? RunCounter::kRetriesNoRoom
+          end == RunEnd::kNoCapacity ? RunCounter::kRetriesNoRoom
                                  : RunCounter::kRetriesNeverStarted);
 }
 
@@ -262,12 +262,12 @@
   m_waiting.Add(job);
 }
 
-void JobDispatcher::NoteBadRun(WorkerSeat& seat, const std::string& job) {
-  if (m_policy.eject_workers && m_pool.RunWentBadly(seat, job, m_now.mono)) {
+void JobDispatcher::NoteBadRun(PooledWorker& worker, const std::string& job) {
+  if (m_policy.eject_workers && m_pool.RecordBadRun(worker, job, m_now.mono)) {
     m_counters.Add(RunCounter::kWorkersEjected);
-    Log("worker ejected", {{"agent", seat.agent},
-                           {"worker", seat.status.worker},
-                           {"bad_jobs", absl::StrCat(seat.bad_in_a_row)}});
+    Log("worker ejected", {{"agent", worker.agent},
+                           {"worker", worker.status.worker},
+                           {"bad_jobs", absl::StrCat(worker.consecutive_bad_jobs)}});
   }
 }
 
--- a/src/job_dispatcher_time.cc
+++ b/src/job_dispatcher_time.cc
@@ -16,7 +16,7 @@
 #include "run_limits.h"
 #include "straggler.h"
 #include "task_needs.h"
-#include "worker_reach.h"
+#include "worker_subset.h"
 
 namespace egretswitch::internal {
 namespace {
@@ -38,8 +38,8 @@
   m_pool.DropUnlinked(m_now.mono);
   SetReachByWork();
   for (const RunRenewals::Due& due : TakeDueRenewals()) {
-    SendTo(*due.seat,
-           RenewRuns{due.seat->clock.Estimate(m_now.mono).value_or(0),
+    SendTo(*due.worker,
+           RenewRuns{due.worker->clock.Estimate(m_now.mono).value_or(0),
                      due.wanted});
   }
   DialSilentAgent();
@@ -56,10 +56,10 @@
 
 void JobDispatcher::SetReachByWork() {
   if (!m_policy.worker_reach) {
-    SetReachToAll(m_pool);
+    SelectAllWorkers(m_pool);
     return;
   }
-  WorkInHand in_hand;
+  OpenWork in_hand;
   for (const auto& [id, job] : m_jobs) {
     double& millicores = in_hand[job->queue.service];
     for (const OpenTask& task : job->tasks) {
@@ -68,7 +68,7 @@
       }
     }
   }
-  SetReach(m_pool, in_hand, m_now.mono);
+  SelectSubset(m_pool, in_hand, m_now.mono);
   AskForWorkersThatFit();
 }
 
@@ -78,21 +78,21 @@
   m_waiting.ForEach([&largest](const OpenJob& job) {
     TaskNeeds& so_far = largest[job.queue.service];
     for (const JobStep& step : job.job.steps) {
-      so_far = LargerOf(so_far, step.needs);
+      so_far = ElementwiseMax(so_far, step.needs);
     }
   });
   for (const auto& [service, needs] : largest) {
     if (!m_pool.CouldFit(service, needs, m_now.mono)) {
-      m_pool.NoteNotEnough(service);
+      m_pool.MarkSubsetInsufficient(service);
     }
   }
 }
 
 std::vector<RunRenewals::Due> JobDispatcher::TakeDueRenewals() {
-  std::map<std::string, std::vector<RoomWanted>> demands = m_waiting.Demands();
+  std::map<std::string, std::vector<CapacityRequest>> demands = m_waiting.Demands();
   if (!m_policy.urgent_entries_first) {
     for (auto& [service, wanted] : demands) {
-      for (RoomWanted& like_it : wanted) {
+      for (CapacityRequest& like_it : wanted) {
         like_it.urgency = 0;
       }
     }
@@ -104,22 +104,22 @@
 // seconds to tell them apart. One dial in each check: when many links die
 // together they are not all dialled at once.
 void JobDispatcher::DialSilentAgent() {
-  const WorkerSeat* seat = m_pool.TakeSilent(m_now.mono);
-  if (seat == nullptr) {
+  const PooledWorker* worker = m_pool.TakeUnresponsive(m_now.mono);
+  if (worker == nullptr) {
     return;
   }
   m_counters.Add(RunCounter::kLinksDialledAgain);
   Log("link silent",
-      {{"peer", seat->agent},
+      {{"peer", worker->agent},
        {"unanswered_ms", absl::StrCat(absl::ToInt64Milliseconds(
-                             m_now.mono - seat->unanswered_since))}});
-  m_actions.push_back(DialAgain{seat->agent, seat->incarnation});
+                             m_now.mono - worker->unanswered_since))}});
+  m_actions.push_back(DialAgain{worker->agent, worker->incarnation});
 }
 
 // Runs on an agent that has been silent, or was replaced by another process,
 // for kRunCertainlyOver after this entry's last word to it are over.
 void JobDispatcher::EndRunsOfLostAgents() {
-  if (!m_pool.AnyRunsInDoubt(m_now.mono)) {
+  if (!m_pool.AnyRunsUncertain(m_now.mono)) {
     return;
   }
   for (auto& [id, job] : m_jobs) {
@@ -128,13 +128,13 @@
           task.state != OpenTask::State::kStopping) {
         continue;
       }
-      WorkerSeat& seat = *m_pool.Find(task.agent);
-      const bool replaced = seat.incarnation != task.agent_incarnation;
+      PooledWorker& worker = *m_pool.Find(task.agent);
+      const bool replaced = worker.incarnation != task.agent_incarnation;
       const MonoTime last_word =
-          replaced ? std::max(task.sent_at, seat.replaced_at) : seat.last_sent;
-      const bool lost = replaced || seat.Suspect(m_now.mono);
+          replaced ? std::max(task.sent_at, worker.replaced_at) : worker.last_sent;
+      const bool lost = replaced || worker.Suspect(m_now.mono);
       if (lost && m_now.mono - last_word > kRunCertainlyOver) {
-        seat.runs -= std::min(seat.runs, 1u);
+        worker.runs -= std::min(worker.runs, 1u);
         Requeue(*job, task, RunCounter::kRetriesAgentLost);
       }
     }
@@ -147,10 +147,10 @@
         !IsStraggler(job, task, m_now.mono)) {
       continue;
     }
-    WorkerSeat& seat = *m_pool.Find(task.agent);
+    PooledWorker& worker = *m_pool.Find(task.agent);
     std::set<std::string> avoid = task.avoid;
-    avoid.insert(seat.agent);
-    if (seat.Suspect(m_now.mono) ||
+    avoid.insert(worker.agent);
+    if (worker.Suspect(m_now.mono) ||
         m_pool.Pick(job.queue.service, job.StepOf(task).needs, avoid,
                     m_now.mono) == nullptr) {
       continue;
@@ -158,14 +158,14 @@
     ++task.moves;
     task.avoid = std::move(avoid);
     task.state = OpenTask::State::kStopping;
-    NoteBadRun(seat, job.job.id);
+    NoteBadRun(worker, job.job.id);
     Log("straggler stopped",
         {{"job", job.job.id},
          {"task", absl::StrCat(task.step, "/", task.index)},
-         {"agent", seat.agent},
+         {"agent", worker.agent},
          {"ran_ms",
           absl::StrCat(absl::ToInt64Milliseconds(m_now.mono - task.sent_at))}});
-    SendTo(seat, StopRuns{job.job.id, task.step, {{task.index, task.run}}});
+    SendTo(worker, StopRuns{job.job.id, task.step, {{task.index, task.run}}});
   }
 }
 
--- a/src/job_notes.cc
+++ b/src/job_notes.cc
@@ -33,10 +33,10 @@
   fields.push_back({"accepting", absl::StrCat(view.accepting)});
   fields.push_back({"evacuated", absl::StrCat(view.evacuated)});
   fields.push_back({"usable", absl::StrCat(view.usable)});
-  fields.push_back({"in_reach", absl::StrCat(view.in_reach)});
+  fields.push_back({"in_reach", absl::StrCat(view.in_subset)});
   fields.push_back({"free_millicores", absl::StrCat(view.free_millicores)});
   fields.push_back(
-      {"unheard_millicores", absl::StrCat(view.unheard_millicores)});
+      {"unheard_millicores", absl::StrCat(view.unreported_millicores)});
 }
 
 }  // namespace egretswitch::internal
--- a/src/link_selection.cc
+++ b/src/link_selection.cc
@@ -11,7 +11,7 @@
 #include <tuple>
 #include <utility>
 
-#include "worker_reach.h"
+#include "worker_subset.h"
 
 namespace egretswitch::internal {
 namespace {
@@ -59,7 +59,7 @@
   std::vector<std::pair<uint64_t, std::string>> order;
   for (const std::string& other : all) {
     if (other != entry) {
-      order.emplace_back(PlaceInOrder(other, seed), other);
+      order.emplace_back(RendezvousHash(other, seed), other);
     }
   }
   const size_t count = std::min(kNeighbours, order.size());
@@ -93,7 +93,7 @@
     }
     Agent agent{.address = {name, member.address, ProcessRole::kAgent},
                 .service = member.worker.service,
-                .place_in_order = PlaceInOrder(name, m_seed)};
+                .rendezvous_hash = RendezvousHash(name, m_seed)};
     if (const auto known = dialled_since.find(name);
         known != dialled_since.end()) {
       agent.dialled_since = known->second;
@@ -104,8 +104,8 @@
   }
   std::sort(m_agents.begin(), m_agents.end(),
             [](const Agent& left, const Agent& right) {
-              return std::tie(left.place_in_order, left.address.name) <
-                     std::tie(right.place_in_order, right.address.name);
+              return std::tie(left.rendezvous_hash, left.address.name) <
+                     std::tie(right.rendezvous_hash, right.address.name);
             });
   SetEntries(std::move(entries));
 }
@@ -128,11 +128,11 @@
 
 // While the work in hand wants more room than is linked, the links double.
 uint32_t LinkSelection::QuotaOf(const std::string& service,
-                                const WorkerPool::Reach& reach,
+                                const WorkerPool::Subset& reach,
                                 MonoTime now) {
   Quota& quota = m_quotas[service];
   const auto all = static_cast<uint32_t>(m_agents.size());
-  uint32_t wanted = std::max(kLeastAgents, kLinksForReach * reach.workers);
+  uint32_t wanted = std::max(kMinAgents, kLinksForReach * reach.workers);
   if (!reach.enough) {
     wanted = std::max(wanted, std::min(2 * quota.agents, all));
   }
@@ -143,13 +143,13 @@
 }
 
 bool LinkSelection::CountsAsLink(Agent& agent,
-                                 const WorkerSeat* seat,
+                                 const PooledWorker* worker,
                                  MonoTime now) const {
-  if (seat != nullptr && seat->linked) {
+  if (worker != nullptr && worker->linked) {
     agent.dialled_since = absl::InfiniteDuration();
     const bool about_to_meet =
-        seat->status.worker.empty() && now - seat->replaced_at < kMeetPatience;
-    return about_to_meet || seat->Usable(now);
+        worker->status.worker.empty() && now - worker->replaced_at < kMeetPatience;
+    return about_to_meet || worker->Usable(now);
   }
   agent.dialled_since = std::min(agent.dialled_since, now);
   return now - agent.dialled_since < kDialPatience;
@@ -157,12 +157,12 @@
 
 std::vector<PeerAddress> LinkSelection::Choose(const WorkerPool& pool,
                                                MonoTime now) {
-  WorkerPool::Reaches reaches = pool.reaches();
+  WorkerPool::Subsets subsets = pool.subsets();
   for (const std::string& service : m_services) {
-    reaches.try_emplace(service);
+    subsets.try_emplace(service);
   }
   std::map<std::string, Left> left;
-  for (const auto& [service, reach] : reaches) {
+  for (const auto& [service, reach] : subsets) {
     left[service] = LeftOf(QuotaOf(service, reach, now));
   }
   std::vector<PeerAddress> chosen = m_entries;
@@ -174,18 +174,18 @@
     if (!any_left) {
       break;
     }
-    const WorkerSeat* seat = pool.Find(agent.address.name);
-    const bool has_told = seat != nullptr && !seat->status.service.empty();
+    const PooledWorker* worker = pool.Find(agent.address.name);
+    const bool has_told = worker != nullptr && !worker->status.service.empty();
     const std::string& service =
-        has_told ? seat->status.service : agent.service;
+        has_told ? worker->status.service : agent.service;
     Left& of_service =
-        left.try_emplace(service, LeftOf(kLeastAgents)).first->second;
+        left.try_emplace(service, LeftOf(kMinAgents)).first->second;
     if (!of_service.Any()) {
       agent.dialled_since = absl::InfiniteDuration();
       continue;
     }
     --of_service.dialled;
-    of_service.usable -= CountsAsLink(agent, seat, now) ? 1 : 0;
+    of_service.usable -= CountsAsLink(agent, worker, now) ? 1 : 0;
     chosen.push_back(agent.address);
     chosen_agents.insert(agent.address.name);
   }
@@ -198,8 +198,8 @@
     const WorkerPool& pool,
     const std::set<std::string_view>& chosen_agents,
     std::vector<PeerAddress>& chosen) const {
-  for (const auto& [name, seat] : pool.seats()) {
-    const bool needed = seat.linked && seat.runs > 0;
+  for (const auto& [name, worker] : pool.workers()) {
+    const bool needed = worker.linked && worker.runs > 0;
     const auto address = m_addresses.find(name);
     if (needed && !chosen_agents.contains(name) &&
         address != m_addresses.end()) {
--- a/src/link_selection.h
+++ b/src/link_selection.h
@@ -28,7 +28,7 @@
  public:
   // The agents of one service that an entry is linked to at least, when there
   // are so many. Deployments up to this size are linked throughout.
-  static constexpr uint32_t kLeastAgents = 64;
+  static constexpr uint32_t kMinAgents = 64;
 
   // `seed` is that of the pool, so that both take the agents in one order.
   LinkSelection(std::string self, uint64_t seed);
@@ -42,7 +42,7 @@
   struct Agent {
     PeerAddress address;
     std::string service;  // by its record; empty: it has met no worker
-    uint64_t place_in_order = 0;
+    uint64_t rendezvous_hash = 0;
     MonoTime dialled_since = absl::InfiniteDuration();  // without a link yet
   };
   struct Quota {
@@ -51,13 +51,13 @@
   };
 
   uint32_t QuotaOf(const std::string& service,
-                   const WorkerPool::Reach& reach,
+                   const WorkerPool::Subset& reach,
                    MonoTime now);
   void SetEntries(std::map<std::string, PeerAddress> entries);
   void AddThoseWithRuns(const WorkerPool& pool,
                         const std::set<std::string_view>& chosen_agents,
                         std::vector<PeerAddress>& chosen) const;
-  bool CountsAsLink(Agent& agent, const WorkerSeat* seat, MonoTime now) const;
+  bool CountsAsLink(Agent& agent, const PooledWorker* worker, MonoTime now) const;
 
   const std::string m_self;
   const uint64_t m_seed;
--- a/src/recent_ends.cc
+++ b/src/recent_ends.cc
@@ -7,9 +7,9 @@
 
 namespace egretswitch::internal {
 
-void RecentEnds::Note(const RunReport& report, MonoTime now) {
+void RecentEnds::Record(const RunReport& report, MonoTime now) {
   while (!m_ends.empty() &&
-         (m_ends.size() >= kMost || now - m_ends.front().at > kRememberEnds)) {
+         (m_ends.size() >= kMost || now - m_ends.front().at > kReportedEndRetention)) {
     m_ends.pop_front();
   }
   m_ends.push_back({report, now});
--- a/src/recent_ends.h
+++ b/src/recent_ends.h
@@ -18,7 +18,7 @@
  public:
   static constexpr size_t kMost = 4096;
 
-  void Note(const RunReport& report, MonoTime now);
+  void Record(const RunReport& report, MonoTime now);
   // Null: it is not known, or no longer.
   const RunReport* Find(const OrderedRun& ordered) const;
 
--- a/src/run_ends.cc
+++ b/src/run_ends.cc
@@ -17,8 +17,8 @@
 
 RunEnd EndOfRefusal(CallVerdict verdict) {
   switch (verdict) {
-    case CallVerdict::kNoRoom:
-      return RunEnd::kNoRoom;
+    case CallVerdict::kNoCapacity:
+      return RunEnd::kNoCapacity;
     case CallVerdict::kOldNumber:
       return RunEnd::kOldNumber;
     case CallVerdict::kFenced:
@@ -43,7 +43,7 @@
       return RunCounter::kRunsStopped;
     case RunEnd::kWorkerLost:
       return RunCounter::kRunsWorkerLost;
-    case RunEnd::kNoRoom:
+    case RunEnd::kNoCapacity:
       return RunCounter::kRefusedNoRoom;
     case RunEnd::kLeaving:
       return RunCounter::kRefusedLeaving;
--- a/src/run_events.h
+++ b/src/run_events.h
@@ -3,7 +3,7 @@
 // to the world.
 //
 //   EntrySaid{entry-1, StartRuns{...}}  ->  [StartCall{...}]
-//   StartAnswered{key, kNoRoom}         ->  [SendRunMessage{entry-1, ...}]
+//   StartAnswered{key, kNoCapacity}         ->  [SendRunMessage{entry-1, ...}]
 #ifndef EGRETSWITCH_SRC_RUN_EVENTS_H_
 #define EGRETSWITCH_SRC_RUN_EVENTS_H_
 
--- a/src/run_keeper.cc
+++ b/src/run_keeper.cc
@@ -30,7 +30,7 @@
 MonoTime RunKeeper::NextWake() const {
   MonoTime wake = m_looks.NextDue(m_worker, NeedsOfLooks());
   if (m_entries.AnyWantsRoom()) {
-    wake = std::min(wake, m_promises.NextLapse(m_now.mono));
+    wake = std::min(wake, m_promises.NextExpiry(m_now.mono));
   }
   for (const auto& [key, run] : m_runs) {
     if (run.state != KeptRun::State::kStopping) {
@@ -63,7 +63,7 @@
   if (!m_entries.LinkDown(event.name, event.incarnation)) {
     return;
   }
-  m_promises.Drop(event.name);
+  m_promises.Release(event.name);
   const bool has_runs = std::any_of(
       m_runs.begin(), m_runs.end(),
       [&event](const auto& run) { return run.second.entry == event.name; });
@@ -127,12 +127,12 @@
       Refuse(entry, start, wanted, RunEnd::kSuspectBeside);
     } else if (!Fits(start.needs, FreeFor(entry))) {
       m_entries.WantsRoomToo(entry, {start.urgency, start.needs, 1});
-      Refuse(entry, start, wanted, RunEnd::kNoRoom);
+      Refuse(entry, start, wanted, RunEnd::kNoCapacity);
     } else {
       BeginRun(entry, start, wanted);
     }
   }
-  m_promises.Drop(entry);
+  m_promises.Release(entry);
 }
 
 // Tasks that were lost in the same crash look alike to every entry. Under the
@@ -158,7 +158,7 @@
     const StartRuns& start) const {
   const absl::Duration age = m_now.mono - absl::Milliseconds(start.sent_at_ms);
   if (!m_worker.known() || start.worker != m_worker.present().incarnation ||
-      age > kStartFreshness) {
+      age > kMaxStartAge) {
     return RunEnd::kStale;
   }
   if (Evacuated()) {
@@ -291,7 +291,7 @@
 
 TaskNeeds RunKeeper::FreeFor(const std::string& entry) const {
   TaskNeeds free = FreeNeeds();
-  Subtract(free, m_promises.KeptFrom(entry, m_now.mono));
+  Subtract(free, m_promises.ReservedForOthers(entry, m_now.mono));
   return free;
 }
 
@@ -325,7 +325,7 @@
 void RunKeeper::NoticeRoom() {
   if (Accepting()) {
     TaskNeeds free = FreeNeeds();
-    Subtract(free, m_promises.KeptFrom("", m_now.mono));
+    Subtract(free, m_promises.ReservedForOthers("", m_now.mono));
     m_entries.NoticeRoom(free, m_promises, m_now.mono);
   }
 }
--- a/src/run_keeper.h
+++ b/src/run_keeper.h
@@ -3,7 +3,7 @@
 //
 //   PeerSaid{entry-1, StartRuns{...}}     -> StartCall
 //   LookAnswered{ended: run done}         -> SendRunMessage{entry-1,
-//   RunReports} nothing of entry-1 for kEntrySilence  -> StopCall
+//   RunReports} nothing of entry-1 for kRunLease  -> StopCall
 #ifndef EGRETSWITCH_SRC_RUN_KEEPER_H_
 #define EGRETSWITCH_SRC_RUN_KEEPER_H_
 
@@ -19,7 +19,7 @@
 #include "entry_contacts.h"
 #include "kept_run.h"
 #include "recent_ends.h"
-#include "room_promises.h"
+#include "capacity_reservations.h"
 #include "run_counters.h"
 #include "run_events.h"
 #include "watched_worker.h"
@@ -127,7 +127,7 @@
   Runs m_runs;
   EntryContacts m_entries;
   RecentEnds m_recent_ends;
-  RoomPromises m_promises;
+  CapacityReservations m_promises;
   Evacuations m_evacuations;
   RunCounters m_counters;
   bool m_draining = false;
--- a/src/run_keeper_worker.cc
+++ b/src/run_keeper_worker.cc
@@ -357,7 +357,7 @@
 
 void RunKeeper::Report(const std::string& entry, const RunReport& report) {
   m_counters.Add(CounterOf(report.end));
-  m_recent_ends.Note(report, m_now.mono);
+  m_recent_ends.Record(report, m_now.mono);
   m_entries.Report(entry, report);
 }
 
--- a/src/run_limits.h
+++ b/src/run_limits.h
@@ -7,13 +7,13 @@
 //
 //   entry    ends with the attempt: sends no start and no renewal any more;
 //            when it was paused, it treats its attempts as ended
-//   agent    stops a run kEntrySilence after the last renewal was sent
+//   agent    stops a run kRunLease after the last renewal was sent
 //   worker   ends everything kWorkerLease after the agent's last call
 //
 // The agent may end just before it would have stopped a run, so both bounds add
 // up in the worst case:
 //
-//   kEntrySilence + kWorkerLease / 0.98 + the worker's stop < kResendAfter
+//   kRunLease + kWorkerLease / 0.98 + the worker's stop < kResendAfter
 //   550 ms        + 561 ms              + 50 ms             < 1300 ms
 #ifndef EGRETSWITCH_SRC_RUN_LIMITS_H_
 #define EGRETSWITCH_SRC_RUN_LIMITS_H_
@@ -26,18 +26,18 @@
 inline constexpr absl::Duration kResendAfter = absl::Milliseconds(1300);
 
 // How long a run goes on without a word of the entry that answers for it.
-inline constexpr absl::Duration kEntrySilence = absl::Milliseconds(550);
+inline constexpr absl::Duration kRunLease = absl::Milliseconds(550);
 
-// Two renewals may be lost or late before kEntrySilence ends a run.
+// Two renewals may be lost or late before kRunLease ends a run.
 inline constexpr absl::Duration kRenewPeriod = absl::Milliseconds(150);
 
 // An order to start that was under way for longer is not carried out: what it
 // belongs to may have ended. Far above the delay of a busy network.
-inline constexpr absl::Duration kStartFreshness = absl::Milliseconds(300);
+inline constexpr absl::Duration kMaxStartAge = absl::Milliseconds(300);
 
 // An entry that did not run for this long does not know what was decided
-// meanwhile. Below kEntrySilence, above a busy machine's pauses.
-inline constexpr absl::Duration kPauseLimit = absl::Milliseconds(500);
+// meanwhile. Below kRunLease, above a busy machine's pauses.
+inline constexpr absl::Duration kMaxEntryPause = absl::Milliseconds(500);
 
 // The lease that the agent asks for everything on its worker. The platform
 // grants up to 1 s; the sum above allows less. The worker's clock may be 2%
@@ -46,18 +46,18 @@
 
 // A look at the worker waits this long for an end of a run, then renews the
 // lease: one look may fail within kWorkerLease.
-inline constexpr absl::Duration kLookWait = absl::Milliseconds(200);
+inline constexpr absl::Duration kPollWait = absl::Milliseconds(200);
 
 // Without an answer for this long a second look goes beside the long one, so
 // that a single lost answer does not end what runs.
-inline constexpr absl::Duration kLookDoubt = absl::Milliseconds(250);
+inline constexpr absl::Duration kSecondPollDelay = absl::Milliseconds(250);
 
 // Beyond the wait asked for, after which a call to the worker beside the agent
 // counts as unanswered. Such a call takes about 1 ms.
 inline constexpr absl::Duration kWorkerCallTimeout = absl::Milliseconds(150);
 
 // Without an answer for this long a worker gets no new work.
-inline constexpr absl::Duration kWorkerSilence = absl::Milliseconds(600);
+inline constexpr absl::Duration kWorkerTimeout = absl::Milliseconds(600);
 
 // Between two calls for the same start while none is answered: far above the
 // 1 ms that a call takes, so that a calm day repeats none, and a small part of
@@ -72,20 +72,20 @@
 
 // An agent that leaves a renewal unanswered for this long gets no new work and
 // no further renewal; two answers may be lost or late before.
-inline constexpr absl::Duration kAgentSuspect = absl::Milliseconds(400);
+inline constexpr absl::Duration kAgentSuspectAfter = absl::Milliseconds(400);
 
 // A link on which a renewal stays unanswered for this long is dialled anew,
-// beside the old one. The new link must be up before kEntrySilence ends the
+// beside the old one. The new link must be up before kRunLease ends the
 // runs, counted from the last renewal that arrived, up to kRenewPeriod earlier.
-inline constexpr absl::Duration kLinkDoubt = absl::Milliseconds(250);
+inline constexpr absl::Duration kLinkRedialAfter = absl::Milliseconds(250);
 
 // Between two such dials to one agent: a process that is frozen accepts
 // connections and answers none of them.
-inline constexpr absl::Duration kDialAgainPause = absl::Seconds(1);
+inline constexpr absl::Duration kLinkRedialInterval = absl::Seconds(1);
 
 // How long an agent remembers the end of a run, in case its report was lost.
 // Far above the time until a silent link is replaced.
-inline constexpr absl::Duration kRememberEnds = absl::Seconds(5);
+inline constexpr absl::Duration kReportedEndRetention = absl::Seconds(5);
 
 // A run has certainly ended this long after the entry last sent its agent
 // anything: the sum above, and 50 ms for a busy machine.
--- a/src/run_messages.h
+++ b/src/run_messages.h
@@ -68,11 +68,11 @@
 };
 
 // Tasks of one urgency that wait at an entry.
-struct RoomWanted {
+struct CapacityRequest {
   uint32_t urgency = 0;  // 0 is the most urgent
   TaskNeeds needs;       // of the smallest of them
   uint32_t tasks = 0;    // how many
-  bool operator==(const RoomWanted&) const = default;
+  bool operator==(const CapacityRequest&) const = default;
   MSGPACK_DEFINE(urgency, needs, tasks)
 };
 
@@ -89,7 +89,7 @@
   int64_t sent_at_ms = 0;  // as in StartRuns
   // What the sender would like to place on this worker, the most urgent first;
   // it is to be told when there is room. None: what it asked for before holds.
-  std::vector<RoomWanted> wanted;
+  std::vector<CapacityRequest> wanted;
   // First on a new link: what was ordered on the links before it. The agent
   // reports each of these that it doesn't hold, since the order or the report
   // of the end may have been lost.
@@ -102,7 +102,7 @@
   kFailed,       // the task's or the worker's fault; it ran
   kStopped,      // by an order or because its lease lapsed; it ran
   kWorkerLost,   // over with its worker, which crashed, fell silent or left
-  kNoRoom,       // never started: it does not fit beside what runs
+  kNoCapacity,       // never started: it does not fit beside what runs
   kLeaving,      // never started: the worker takes no new work
   kStale,        // never started: the order was too old, or for a former worker
   kOldNumber,    // never started: the worker has seen this run number or higher
@@ -115,7 +115,7 @@
 
 // Whether a run with this end did nothing at all.
 inline bool NeverStarted(RunEnd end) {
-  return end >= RunEnd::kNoRoom;
+  return end >= RunEnd::kNoCapacity;
 }
 
 // What an agent knows of a run that was over with its worker.
--- a/src/run_renewals.cc
+++ b/src/run_renewals.cc
@@ -21,10 +21,10 @@
 }
 
 uint32_t TasksIn(
-    const std::map<std::string, std::vector<RoomWanted>>& waiting) {
+    const std::map<std::string, std::vector<CapacityRequest>>& waiting) {
   uint32_t tasks = 0;
   for (const auto& [service, wanted] : waiting) {
-    for (const RoomWanted& like_it : wanted) {
+    for (const CapacityRequest& like_it : wanted) {
       tasks += like_it.tasks;
     }
   }
@@ -35,29 +35,29 @@
 
 std::vector<RunRenewals::Due> RunRenewals::TakeDue(
     WorkerPool& pool,
-    const std::map<std::string, std::vector<RoomWanted>>& waiting,
+    const std::map<std::string, std::vector<CapacityRequest>>& waiting,
     MonoTime now) {
   std::vector<Due> due;
   const std::set<std::string> asked = Askable(pool, waiting, now);
-  const auto in_reach = static_cast<size_t>(
-      std::count_if(pool.seats().begin(), pool.seats().end(),
-                    [](const auto& seat) { return seat.second.in_reach; }));
-  for (auto& [name, seat] : pool.seats()) {
+  const auto in_subset = static_cast<size_t>(
+      std::count_if(pool.workers().begin(), pool.workers().end(),
+                    [](const auto& worker) { return worker.second.in_subset; }));
+  for (auto& [name, worker] : pool.workers()) {
     const bool ask = asked.contains(name);
-    const bool renew = seat.runs > 0 && now >= seat.next_renewal;
-    if (seat.Suspect(now) || (!ask && !renew)) {
+    const bool renew = worker.runs > 0 && now >= worker.next_renewal;
+    if (worker.Suspect(now) || (!ask && !renew)) {
       continue;
     }
     if (ask) {
-      seat.next_room_request = now + kRoomRequestPeriod;
+      worker.next_capacity_request = now + kRoomRequestPeriod;
     }
-    seat.next_renewal = now + kRenewPeriod;
-    seat.unanswered_since = std::min(seat.unanswered_since, now);
-    due.push_back({&seat, {}});
+    worker.next_renewal = now + kRenewPeriod;
+    worker.unanswered_since = std::min(worker.unanswered_since, now);
+    due.push_back({&worker, {}});
     if (ask) {
-      due.back().wanted = waiting.at(seat.status.service);
-      for (RoomWanted& wanted : due.back().wanted) {
-        wanted.tasks = ShareOf(wanted.tasks, in_reach);
+      due.back().wanted = waiting.at(worker.status.service);
+      for (CapacityRequest& wanted : due.back().wanted) {
+        wanted.tasks = ShareOf(wanted.tasks, in_subset);
       }
     }
   }
@@ -67,32 +67,32 @@
 std::set<std::string> RunRenewals::Askable(const WorkerPool& pool,
                                            const Waiting& waiting,
                                            MonoTime now) {
-  const uint32_t most = std::min(kMostAsked, TasksIn(waiting));
+  const uint32_t most = std::min(kMaxSubsetRequests, TasksIn(waiting));
   std::set<std::string> asked =
       AskableAfter(m_last_asked, pool, true, most, waiting, now);
   asked.merge(AskableAfter(m_last_other, pool, false,
-                           std::min(kOthersAsked, most), waiting, now));
+                           std::min(kMaxOutsideRequests, most), waiting, now));
   return asked;
 }
 
 // From the agent after the one that was asked last, round all of them.
 std::set<std::string> RunRenewals::AskableAfter(std::string& last_asked,
                                                 const WorkerPool& pool,
-                                                bool in_reach,
+                                                bool in_subset,
                                                 uint32_t most,
                                                 const Waiting& waiting,
                                                 MonoTime now) {
   std::set<std::string> asked;
-  const auto& seats = pool.seats();
-  auto next = seats.upper_bound(last_asked);
-  for (size_t i = 0; i < seats.size() && asked.size() < most; ++i) {
-    if (next == seats.end()) {
-      next = seats.begin();
+  const auto& workers = pool.workers();
+  auto next = workers.upper_bound(last_asked);
+  for (size_t i = 0; i < workers.size() && asked.size() < most; ++i) {
+    if (next == workers.end()) {
+      next = workers.begin();
     }
-    const auto& [name, seat] = *next++;
-    if (seat.in_reach == in_reach && waiting.contains(seat.status.service) &&
-        !seat.evacuated && !seat.Suspect(now) &&
-        now >= seat.next_room_request) {
+    const auto& [name, worker] = *next++;
+    if (worker.in_subset == in_subset && waiting.contains(worker.status.service) &&
+        !worker.evacuated && !worker.Suspect(now) &&
+        now >= worker.next_capacity_request) {
       last_asked = name;
       asked.insert(name);
     }
--- a/src/run_renewals.h
+++ b/src/run_renewals.h
@@ -23,31 +23,31 @@
  public:
   // Agents in reach that are asked for room at one call, one for each task that
   // waits: a thousand agents are asked one after the other, not at once.
-  static constexpr uint32_t kMostAsked = 16;
+  static constexpr uint32_t kMaxSubsetRequests = 16;
   // And of the others, since room may be where this entry does not look.
-  static constexpr uint32_t kOthersAsked = 2;
+  static constexpr uint32_t kMaxOutsideRequests = 2;
 
   struct Due {
-    WorkerSeat* seat = nullptr;
-    std::vector<RoomWanted> wanted;  // the agent is to tell when it has room
+    PooledWorker* worker = nullptr;
+    std::vector<CapacityRequest> wanted;  // the agent is to tell when it has room
   };
 
   // Marks each agent that it names as asked now.
   // `waiting` is what waits for each service.
   std::vector<Due> TakeDue(
       WorkerPool& pool,
-      const std::map<std::string, std::vector<RoomWanted>>& waiting,
+      const std::map<std::string, std::vector<CapacityRequest>>& waiting,
       MonoTime now);
 
  private:
-  using Waiting = std::map<std::string, std::vector<RoomWanted>>;
+  using Waiting = std::map<std::string, std::vector<CapacityRequest>>;
 
   std::set<std::string> Askable(const WorkerPool& pool,
                                 const Waiting& waiting,
                                 MonoTime now);
   static std::set<std::string> AskableAfter(std::string& last_asked,
                                             const WorkerPool& pool,
-                                            bool in_reach,
+                                            bool in_subset,
                                             uint32_t most,
                                             const Waiting& waiting,
                                             MonoTime now);
--- a/src/table_exchange.cc
+++ b/src/table_exchange.cc
@@ -63,7 +63,7 @@
   m_entries.push_back(event.name);
   m_config_fetch.PeerUp(event.name, event.place);
   m_members_fetch.PeerUp(event.name, event.place);
-  if (m_evacuations.Known()) {
+  if (m_evacuations.IsLoaded()) {
     Tell(event.name, m_evacuations);
   }
   Tell(event.name, Held());
@@ -85,7 +85,7 @@
 }
 
 void TableExchange::On(const EvacuationsRead& event) {
-  TakeEvacuations(AfterRead(m_evacuations, event), "store");
+  TakeEvacuations(ApplyRead(m_evacuations, event), "store");
 }
 
 void TableExchange::On(const MembersRead& event) {
@@ -229,7 +229,7 @@
     return;
   }
   const bool changed = former.data_centres != state.data_centres ||
-                       former.Known() != state.Known();
+                       former.IsLoaded() != state.IsLoaded();
   for (const std::string& entry : m_entries) {
     if (changed) {
       Tell(entry, m_evacuations);
--- a/src/task_needs.h
+++ b/src/task_needs.h
@@ -17,7 +17,7 @@
          needs.accelerators <= room.accelerators;
 }
 
-inline bool IsNothing(const TaskNeeds& needs) {
+inline bool IsZero(const TaskNeeds& needs) {
   return needs.millicores == 0 && needs.memory_mb == 0 &&
          needs.accelerators == 0;
 }
@@ -28,7 +28,7 @@
 }
 
 // What holds either of them.
-inline TaskNeeds LargerOf(const TaskNeeds& left, const TaskNeeds& right) {
+inline TaskNeeds ElementwiseMax(const TaskNeeds& left, const TaskNeeds& right) {
   return {std::max(left.millicores, right.millicores),
           std::max(left.memory_mb, right.memory_mb),
           std::max(left.accelerators, right.accelerators)};
--- a/src/waiting_jobs.cc
+++ b/src/waiting_jobs.cc
@@ -11,10 +11,10 @@
 }
 
 // Jobs stand by urgency, so equal ones follow one another.
-std::map<std::string, std::vector<RoomWanted>> WaitingJobs::Demands() const {
-  std::map<std::string, std::vector<RoomWanted>> demands;
+std::map<std::string, std::vector<CapacityRequest>> WaitingJobs::Demands() const {
+  std::map<std::string, std::vector<CapacityRequest>> demands;
   for (const auto& [key, job] : m_jobs) {
-    std::vector<RoomWanted>& wanted = demands[job->queue.service];
+    std::vector<CapacityRequest>& wanted = demands[job->queue.service];
     for (const OpenTask& task : job->tasks) {
       if (task.state != OpenTask::State::kWaiting) {
         continue;
@@ -23,7 +23,7 @@
       if (wanted.empty() || wanted.back().urgency != job->Urgency()) {
         wanted.push_back({job->Urgency(), needs, 0});
       }
-      RoomWanted& like_it = wanted.back();
+      CapacityRequest& like_it = wanted.back();
       if (needs.millicores < like_it.needs.millicores) {
         like_it.needs = needs;
       }
--- a/src/waiting_jobs.h
+++ b/src/waiting_jobs.h
@@ -29,7 +29,7 @@
   bool empty() const { return m_jobs.empty(); }
 
   // What waits for each service, the most urgent first.
-  std::map<std::string, std::vector<RoomWanted>> Demands() const;
+  std::map<std::string, std::vector<CapacityRequest>> Demands() const;
 
  private:
   using Key = std::pair<uint32_t, uint64_t>;  // urgency, arrival
--- a/src/watched_worker.cc
+++ b/src/watched_worker.cc
@@ -144,7 +144,7 @@
     return false;
   }
   const int64_t overtaken_by =
-      absl::ToInt64Milliseconds(kLookWait + kWorkerCallTimeout);
+      absl::ToInt64Milliseconds(kPollWait + kWorkerCallTimeout);
   return BirthOf(incarnation) == 0 ||
          (!m_superseded && clock_ms > m_highest_clock_ms - overtaken_by);
 }
@@ -196,7 +196,7 @@
 }
 
 bool WatchedWorker::Silent(MonoTime now) const {
-  return now - m_last_heard > kWorkerSilence;
+  return now - m_last_heard > kWorkerTimeout;
 }
 
 }  // namespace egretswitch::internal
--- a/src/worker_calls.cc
+++ b/src/worker_calls.cc
@@ -12,7 +12,7 @@
       return "old_number";
     case CallVerdict::kTooLate:
       return "too_late";
-    case CallVerdict::kNoRoom:
+    case CallVerdict::kNoCapacity:
       return "no_room";
     case CallVerdict::kOtherWorker:
       return "other_worker";
--- a/src/worker_looks.cc
+++ b/src/worker_looks.cc
@@ -82,9 +82,9 @@
     return due;
   }
   while (m_long_looks < LongLooksWanted(now)) {
-    look(kLookWait);
+    look(kPollWait);
   }
-  const bool overdue = now - worker.last_heard() >= kLookDoubt;
+  const bool overdue = now - worker.last_heard() >= kSecondPollDelay;
   const bool in_doubt = m_quick_looks == 0 && (overdue || needs.list);
   if (in_doubt || now >= NextOfSpell(needs)) {
     look(absl::ZeroDuration());
@@ -124,7 +124,7 @@
   }
   if (worker.known() && m_quick_looks == 0) {
     due =
-        std::min(due, std::max(m_next_look, worker.last_heard() + kLookDoubt));
+        std::min(due, std::max(m_next_look, worker.last_heard() + kSecondPollDelay));
   }
   if (worker.known()) {
     due = std::min(due, std::max(m_next_look, NextOfSpell(needs)));
--- a/src/worker_losses.cc
+++ b/src/worker_losses.cc
@@ -6,7 +6,7 @@
 namespace {
 
 // An agent notices a crash at once when connections are refused, and at the
-// latest when the worker has been silent (kWorkerSilence) and its last lease is
+// latest when the worker has been silent (kWorkerTimeout) and its last lease is
 // certainly over: 1.26 s later. The rest is a margin for busy machines.
 constexpr absl::Duration kSameEvent = absl::Milliseconds(1500);
 
@@ -15,7 +15,7 @@
 
 }  // namespace
 
-void WorkerLosses::Note(const std::string& agent, MonoTime now) {
+void WorkerLosses::Record(const std::string& agent, MonoTime now) {
   while (!m_losses.empty() && now - m_losses.front().noticed_at > kKeepLosses) {
     m_losses.pop_front();
   }
--- a/src/worker_losses.h
+++ b/src/worker_losses.h
@@ -19,7 +19,7 @@
 class WorkerLosses {
  public:
   // The worker beside `agent` is lost.
-  void Note(const std::string& agent, MonoTime now);
+  void Record(const std::string& agent, MonoTime now);
 
   // How many agents, but for those in `apart`, lost a worker at about `at`.
   size_t LostAround(MonoTime at, const std::set<std::string>& apart) const;
--- a/src/worker_pool.cc
+++ b/src/worker_pool.cc
@@ -13,7 +13,7 @@
 
 #include "run_limits.h"
 #include "task_needs.h"
-#include "worker_reach.h"
+#include "worker_subset.h"
 
 namespace egretswitch::internal {
 namespace {
@@ -42,129 +42,129 @@
 
 }  // namespace
 
-bool WorkerSeat::Suspect(MonoTime now) const {
-  return !linked || now - unanswered_since > kAgentSuspect;
+bool PooledWorker::Suspect(MonoTime now) const {
+  return !linked || now - unanswered_since > kAgentSuspectAfter;
 }
 
-bool WorkerSeat::Usable(MonoTime now) const {
+bool PooledWorker::Usable(MonoTime now) const {
   return status.accepting && !evacuated && now >= ejected_until &&
          !(on_probation && runs > 0) && !Suspect(now);
 }
 
-bool WorkerSeat::KnownWell(MonoTime now) const {
-  return in_reach || now - last_heard < kFreshReport;
+bool PooledWorker::HasFreshStatus(MonoTime now) const {
+  return in_subset || now - last_received_at < kFreshReport;
 }
 
-WorkerSeat& WorkerPool::LinkUp(const std::string& agent,
+PooledWorker& WorkerPool::LinkUp(const std::string& agent,
                                uint64_t incarnation,
                                std::string_view data_centre,
                                MonoTime now) {
-  WorkerSeat& seat = m_seats[agent];
-  if (seat.incarnation != incarnation) {
-    const uint32_t runs = seat.runs;
-    const MonoTime last_sent = seat.last_sent;
-    seat = WorkerSeat{};
-    seat.place_in_order = PlaceInOrder(agent, m_seed);
-    seat.agent = agent;
-    seat.incarnation = incarnation;
-    seat.runs = runs;
-    seat.last_sent = last_sent;
-    seat.replaced_at = now;
+  PooledWorker& worker = m_seats[agent];
+  if (worker.incarnation != incarnation) {
+    const uint32_t runs = worker.runs;
+    const MonoTime last_sent = worker.last_sent;
+    worker = PooledWorker{};
+    worker.rendezvous_hash = RendezvousHash(agent, m_seed);
+    worker.agent = agent;
+    worker.incarnation = incarnation;
+    worker.runs = runs;
+    worker.last_sent = last_sent;
+    worker.replaced_at = now;
   }
-  seat.data_centre = std::string(data_centre);
-  seat.evacuated = m_evacuations.Covers(data_centre);
-  seat.linked = true;
+  worker.data_centre = std::string(data_centre);
+  worker.evacuated = m_evacuations.Covers(data_centre);
+  worker.linked = true;
   // Each of them was handled or is lost: the next report counts the former.
-  seat.unheard.clear();
-  seat.last_heard = now;
-  seat.next_renewal = now;
-  seat.unanswered_since = absl::InfiniteDuration();
-  return seat;
+  worker.unreported_starts.clear();
+  worker.last_received_at = now;
+  worker.next_renewal = now;
+  worker.unanswered_since = absl::InfiniteDuration();
+  return worker;
 }
 
-WorkerSeat* WorkerPool::Find(const std::string& agent) {
+PooledWorker* WorkerPool::Find(const std::string& agent) {
   const auto it = m_seats.find(agent);
   return it == m_seats.end() ? nullptr : &it->second;
 }
 
-const WorkerSeat* WorkerPool::Find(const std::string& agent) const {
+const PooledWorker* WorkerPool::Find(const std::string& agent) const {
   const auto it = m_seats.find(agent);
   return it == m_seats.end() ? nullptr : &it->second;
 }
 
-WorkerSeat* WorkerPool::TakeSilent(MonoTime now) {
-  WorkerSeat* longest = nullptr;
-  for (auto& [name, seat] : m_seats) {
-    const bool due = seat.linked && now >= seat.next_dial &&
-                     now - seat.unanswered_since > kLinkDoubt;
+PooledWorker* WorkerPool::TakeUnresponsive(MonoTime now) {
+  PooledWorker* longest = nullptr;
+  for (auto& [name, worker] : m_seats) {
+    const bool due = worker.linked && now >= worker.next_redial &&
+                     now - worker.unanswered_since > kLinkRedialAfter;
     if (due && (longest == nullptr ||
-                seat.unanswered_since < longest->unanswered_since)) {
-      longest = &seat;
+                worker.unanswered_since < longest->unanswered_since)) {
+      longest = &worker;
     }
   }
   if (longest != nullptr) {
-    longest->next_dial = now + kDialAgainPause;
+    longest->next_redial = now + kLinkRedialInterval;
   }
   return longest;
 }
 
 void WorkerPool::DropUnlinked(MonoTime now) {
   std::erase_if(m_seats, [now](const auto& entry) {
-    const WorkerSeat& seat = entry.second;
-    return !seat.linked && seat.runs == 0 &&
-           now - seat.unlinked_at > kKeepUnlinked;
+    const PooledWorker& worker = entry.second;
+    return !worker.linked && worker.runs == 0 &&
+           now - worker.unlinked_at > kKeepUnlinked;
   });
 }
 
-void WorkerPool::Update(WorkerSeat& seat,
+void WorkerPool::Update(PooledWorker& worker,
                         const RunReports& reports,
                         MonoTime now) {
-  if (reports.worker.worker != seat.status.worker) {
-    seat.slowness = 1;
-    seat.bad_in_a_row = 0;
-    seat.ejected_until = absl::ZeroDuration();
-    seat.on_probation = false;
+  if (reports.worker.worker != worker.status.worker) {
+    worker.slowness = 1;
+    worker.consecutive_bad_jobs = 0;
+    worker.ejected_until = absl::ZeroDuration();
+    worker.on_probation = false;
   }
-  seat.status = reports.worker;
-  seat.clock.Observe(reports.clock_ms, now);
-  seat.last_heard = now;
-  seat.unanswered_since = absl::InfiniteDuration();
-  while (!seat.unheard.empty() &&
-         seat.unheard.front().sequence <= seat.status.started_through) {
-    seat.unheard.pop_front();
+  worker.status = reports.worker;
+  worker.clock.Observe(reports.clock_ms, now);
+  worker.last_received_at = now;
+  worker.unanswered_since = absl::InfiniteDuration();
+  while (!worker.unreported_starts.empty() &&
+         worker.unreported_starts.front().sequence <= worker.status.started_through) {
+    worker.unreported_starts.pop_front();
   }
-  seat.free = seat.status.free;
-  for (const WorkerSeat::SentStart& start : seat.unheard) {
-    Subtract(seat.free, start.needs);
+  worker.free = worker.status.free;
+  for (const PooledWorker::SentStart& start : worker.unreported_starts) {
+    Subtract(worker.free, start.needs);
   }
 }
 
-double WorkerPool::Score(const WorkerSeat& seat, const TaskNeeds& needs) {
-  const double capacity = std::max(1u, seat.status.capacity.millicores);
+double WorkerPool::Score(const PooledWorker& worker, const TaskNeeds& needs) {
+  const double capacity = std::max(1u, worker.status.capacity.millicores);
   const double left =
-      static_cast<double>(seat.free.millicores - needs.millicores);
+      static_cast<double>(worker.free.millicores - needs.millicores);
   const double fullness = 1 - left / capacity;
   const double noise =
       std::uniform_real_distribution<double>(0, kScoreNoise)(m_random);
-  return seat.slowness * (1 + kFullnessWeight * fullness) + noise;
+  return worker.slowness * (1 + kFullnessWeight * fullness) + noise;
 }
 
-WorkerSeat* WorkerPool::Pick(std::string_view service,
+PooledWorker* WorkerPool::Pick(std::string_view service,
                              const TaskNeeds& needs,
                              const std::set<std::string>& avoid,
                              MonoTime now) {
-  WorkerSeat* best = nullptr;
+  PooledWorker* best = nullptr;
   double best_score = 0;
-  for (auto& [name, seat] : m_seats) {
-    const bool eligible = seat.KnownWell(now) && seat.Usable(now) &&
-                          seat.status.service == service &&
-                          Fits(needs, seat.free) && !avoid.contains(name);
+  for (auto& [name, worker] : m_seats) {
+    const bool eligible = worker.HasFreshStatus(now) && worker.Usable(now) &&
+                          worker.status.service == service &&
+                          Fits(needs, worker.free) && !avoid.contains(name);
     if (!eligible) {
       continue;
     }
-    const double score = Score(seat, needs);
+    const double score = Score(worker, needs);
     if (best == nullptr || score < best_score) {
-      best = &seat;
+      best = &worker;
       best_score = score;
     }
   }
@@ -175,33 +175,33 @@
                           const TaskNeeds& needs,
                           MonoTime now) const {
   return std::any_of(m_seats.begin(), m_seats.end(), [&](const auto& entry) {
-    const WorkerSeat& seat = entry.second;
-    return seat.Usable(now) && seat.status.service == service &&
-           Fits(needs, seat.status.capacity);
+    const PooledWorker& worker = entry.second;
+    return worker.Usable(now) && worker.status.service == service &&
+           Fits(needs, worker.status.capacity);
   });
 }
 
 bool WorkerPool::AnyWorker() const {
   return std::any_of(m_seats.begin(), m_seats.end(), [](const auto& entry) {
-    const WorkerSeat& seat = entry.second;
-    return seat.linked && (seat.status.accepting || seat.evacuated);
+    const PooledWorker& worker = entry.second;
+    return worker.linked && (worker.status.accepting || worker.evacuated);
   });
 }
 
 void WorkerPool::SetEvacuations(Evacuations state) {
   m_evacuations = std::move(state);
-  for (auto& [name, seat] : m_seats) {
-    seat.evacuated = m_evacuations.Covers(seat.data_centre);
+  for (auto& [name, worker] : m_seats) {
+    worker.evacuated = m_evacuations.Covers(worker.data_centre);
   }
 }
 
 bool WorkerPool::AllEvacuated(std::string_view service) const {
   bool any = false;
-  for (const auto& [name, seat] : m_seats) {
-    if (!seat.linked || seat.status.service != service) {
+  for (const auto& [name, worker] : m_seats) {
+    if (!worker.linked || worker.status.service != service) {
       continue;
     }
-    if (!seat.evacuated) {
+    if (!worker.evacuated) {
       return false;
     }
     any = true;
@@ -209,80 +209,80 @@
   return any;
 }
 
-bool WorkerPool::AnyRunsInDoubt(MonoTime now) const {
+bool WorkerPool::AnyRunsUncertain(MonoTime now) const {
   return std::any_of(m_seats.begin(), m_seats.end(), [now](const auto& entry) {
-    const WorkerSeat& seat = entry.second;
-    const bool replaced = now - seat.replaced_at < 2 * kRunCertainlyOver;
-    return seat.runs > 0 && (replaced || seat.Suspect(now));
+    const PooledWorker& worker = entry.second;
+    const bool replaced = now - worker.replaced_at < 2 * kRunCertainlyOver;
+    return worker.runs > 0 && (replaced || worker.Suspect(now));
   });
 }
 
 WorkerPool::View WorkerPool::ViewOf(std::string_view service,
                                     MonoTime now) const {
   View view;
-  for (const auto& [name, seat] : m_seats) {
-    if (!seat.linked || seat.status.service != service) {
+  for (const auto& [name, worker] : m_seats) {
+    if (!worker.linked || worker.status.service != service) {
       continue;
     }
     ++view.workers;
-    view.accepting += seat.status.accepting ? 1 : 0;
-    view.evacuated += seat.evacuated ? 1 : 0;
-    if (!seat.Usable(now)) {
+    view.accepting += worker.status.accepting ? 1 : 0;
+    view.evacuated += worker.evacuated ? 1 : 0;
+    if (!worker.Usable(now)) {
       continue;
     }
     ++view.usable;
-    view.in_reach += seat.in_reach ? 1 : 0;
-    view.free_millicores += seat.free.millicores;
-    for (const WorkerSeat::SentStart& start : seat.unheard) {
-      view.unheard_millicores += start.needs.millicores;
+    view.in_subset += worker.in_subset ? 1 : 0;
+    view.free_millicores += worker.free.millicores;
+    for (const PooledWorker::SentStart& start : worker.unreported_starts) {
+      view.unreported_millicores += start.needs.millicores;
     }
   }
   return view;
 }
 
-void WorkerPool::Take(WorkerSeat& seat,
+void WorkerPool::ChargeStart(PooledWorker& worker,
                       const TaskNeeds& needs,
                       uint32_t count) {
   const TaskNeeds taken = Times(needs, count);
-  seat.unheard.push_back({++seat.last_sequence, taken});
-  Subtract(seat.free, taken);
-  seat.runs += count;
+  worker.unreported_starts.push_back({++worker.last_sequence, taken});
+  Subtract(worker.free, taken);
+  worker.runs += count;
 }
 
-void WorkerPool::RunWentWell(WorkerSeat& seat,
+void WorkerPool::RecordGoodRun(PooledWorker& worker,
                              uint32_t run_ms,
                              uint32_t estimate_ms) {
   const double ratio =
       std::clamp(static_cast<double>(run_ms) / std::max(1u, estimate_ms),
                  kMinSlowness, kMaxSlowness);
-  seat.slowness += kSlownessGain * (ratio - seat.slowness);
-  seat.bad_in_a_row = 0;
-  seat.on_probation = false;
+  worker.slowness += kSlownessGain * (ratio - worker.slowness);
+  worker.consecutive_bad_jobs = 0;
+  worker.on_probation = false;
 }
 
-bool WorkerPool::RunWentBadly(WorkerSeat& seat,
+bool WorkerPool::RecordBadRun(PooledWorker& worker,
                               const std::string& job,
                               MonoTime now) {
-  if (seat.last_bad_job == job && seat.bad_in_a_row > 0) {
+  if (worker.last_bad_job == job && worker.consecutive_bad_jobs > 0) {
     return false;  // a job whose own tasks fail says little of the worker
   }
-  seat.last_bad_job = job;
-  ++seat.bad_in_a_row;
-  const bool enough = seat.on_probation || seat.bad_in_a_row >= kBadJobsToEject;
+  worker.last_bad_job = job;
+  ++worker.consecutive_bad_jobs;
+  const bool enough = worker.on_probation || worker.consecutive_bad_jobs >= kBadJobsToEject;
   if (!enough || !MayBeEjected(now)) {
     return false;
   }
-  seat.ejected_until = now + kEjection;
-  seat.on_probation = true;
+  worker.ejected_until = now + kEjection;
+  worker.on_probation = true;
   return true;
 }
 
 bool WorkerPool::MayBeEjected(MonoTime now) const {
   size_t ejected = 0;
   size_t usable = 0;
-  for (const auto& [name, seat] : m_seats) {
-    usable += seat.linked && seat.status.accepting ? 1 : 0;
-    ejected += now < seat.ejected_until ? 1 : 0;
+  for (const auto& [name, worker] : m_seats) {
+    usable += worker.linked && worker.status.accepting ? 1 : 0;
+    ejected += now < worker.ejected_until ? 1 : 0;
   }
   return static_cast<double>(ejected + 1) <=
          std::max(1.0, kMostEjected * static_cast<double>(usable));
--- a/src/worker_pool.h
+++ b/src/worker_pool.h
@@ -2,7 +2,7 @@
 // should run a task.
 //
 //   pool.Update("agent-3", status, now);
-//   WorkerSeat* seat = pool.Pick("order-desk", {6200, 64, 0}, avoid);
+//   PooledWorker* seat = pool.Pick("order-desk", {6200, 64, 0}, avoid);
 //
 // The room of a worker is what its agent said last, less what this entry has
 // sent there since. Other entries use the workers too, so a start may still be
@@ -27,7 +27,7 @@
 namespace egretswitch::internal {
 
 // One agent and the worker beside it.
-struct WorkerSeat {
+struct PooledWorker {
   struct SentStart {
     uint64_t sequence = 0;
     TaskNeeds needs;  // of all its runs together
@@ -37,32 +37,32 @@
   uint64_t incarnation = 0;  // of the agent
   std::string data_centre;
   bool evacuated = false;         // gets nothing new; its runs go on
-  uint64_t evacuations_told = 0;  // the state that this entry sent last
+  uint64_t evacuations_sent = 0;  // the state that this entry sent last
   // By a hash of its name and the entry's seed: the order in which this entry
   // takes workers into its reach (worker_reach.h).
-  uint64_t place_in_order = 0;
-  bool in_reach = true;
+  uint64_t rendezvous_hash = 0;
+  bool in_subset = true;
   bool linked = false;
   MonoTime unlinked_at = absl::ZeroDuration();
   WorkerStatus status;
   RemoteClock clock;
   TaskNeeds free;                 // by this entry's estimate
-  std::deque<SentStart> unheard;  // starts that `status` does not count yet
+  std::deque<SentStart> unreported_starts;  // starts that `status` does not count yet
   uint64_t last_sequence = 0;
 
   uint32_t runs = 0;  // of this entry
   MonoTime last_sent = absl::ZeroDuration();
   MonoTime replaced_at = absl::ZeroDuration();  // by the present incarnation
-  MonoTime last_heard = absl::ZeroDuration();
+  MonoTime last_received_at = absl::ZeroDuration();
   MonoTime next_renewal = absl::ZeroDuration();
-  MonoTime next_room_request = absl::ZeroDuration();
+  MonoTime next_capacity_request = absl::ZeroDuration();
   // The oldest renewal without an answer; infinite: all are answered.
   MonoTime unanswered_since = absl::InfiniteDuration();
-  MonoTime next_dial = absl::ZeroDuration();  // beside a link that is silent
+  MonoTime next_redial = absl::ZeroDuration();  // beside a link that is silent
 
   // Run time over the caller's estimate, learnt; 1 before anything is.
   double slowness = 1;
-  uint32_t bad_in_a_row =
+  uint32_t consecutive_bad_jobs =
       0;  // jobs that failed or hung here, one after another
   std::string last_bad_job;
   MonoTime ejected_until = absl::ZeroDuration();
@@ -72,29 +72,29 @@
   // Whether its worker may be given tasks at all, be there room or not.
   bool Usable(MonoTime now) const;
   // In reach, or heard of so lately that its room is as it was told.
-  bool KnownWell(MonoTime now) const;
+  bool HasFreshStatus(MonoTime now) const;
 };
 
 class WorkerPool {
  public:
   explicit WorkerPool(uint64_t seed) : m_seed(seed), m_random(seed) {}
 
-  WorkerSeat& LinkUp(const std::string& agent,
+  PooledWorker& LinkUp(const std::string& agent,
                      uint64_t incarnation,
                      std::string_view data_centre,
                      MonoTime now);
   // Null when the agent, or this incarnation of it, is not known.
-  WorkerSeat* Find(const std::string& agent);
-  const WorkerSeat* Find(const std::string& agent) const;
+  PooledWorker* Find(const std::string& agent);
+  const PooledWorker* Find(const std::string& agent) const;
   // The agent whose link is to be dialled anew, which counts as dialled: the
   // one that has left a renewal unanswered for longest. Null: none is due.
-  WorkerSeat* TakeSilent(MonoTime now);
+  PooledWorker* TakeUnresponsive(MonoTime now);
   // Forgets agents that have been without a link for long, and hold no runs.
   void DropUnlinked(MonoTime now);
-  void Update(WorkerSeat& seat, const RunReports& reports, MonoTime now);
+  void Update(PooledWorker& worker, const RunReports& reports, MonoTime now);
 
   // The best worker with room, outside `avoid`; null: there is none now.
-  WorkerSeat* Pick(std::string_view service,
+  PooledWorker* Pick(std::string_view service,
                    const TaskNeeds& needs,
                    const std::set<std::string>& avoid,
                    MonoTime now);
@@ -113,7 +113,7 @@
   bool AnyWorker() const;
   // Whether runs of this entry are at an agent that is silent, or that was
   // replaced so lately that the former one's runs may go on.
-  bool AnyRunsInDoubt(MonoTime now) const;
+  bool AnyRunsUncertain(MonoTime now) const;
 
   // What Pick() sees of a service, for logs: why a job found no room.
   struct View {
@@ -121,41 +121,41 @@
     uint32_t accepting = 0;           // of these, neither leaving nor silent
     uint32_t evacuated = 0;           // of the workers
     uint32_t usable = 0;              // of these, neither suspected nor ejected
-    uint32_t in_reach = 0;            // of these
+    uint32_t in_subset = 0;            // of these
     uint64_t free_millicores = 0;     // of the usable ones, estimated
-    uint64_t unheard_millicores = 0;  // started there, not yet in a report
+    uint64_t unreported_millicores = 0;  // started there, not yet in a report
   };
   View ViewOf(std::string_view service, MonoTime now) const;
 
   // Takes the room of `count` tasks for the start numbered `sequence`.
-  void Take(WorkerSeat& seat, const TaskNeeds& needs, uint32_t count);
+  void ChargeStart(PooledWorker& worker, const TaskNeeds& needs, uint32_t count);
 
   // What became of runs here. True when this ejects the worker.
-  void RunWentWell(WorkerSeat& seat, uint32_t run_ms, uint32_t estimate_ms);
-  bool RunWentBadly(WorkerSeat& seat, const std::string& job, MonoTime now);
+  void RecordGoodRun(PooledWorker& worker, uint32_t run_ms, uint32_t estimate_ms);
+  bool RecordBadRun(PooledWorker& worker, const std::string& job, MonoTime now);
 
   // What the last decision about the reach came to, by service.
-  struct Reach {
+  struct Subset {
     uint32_t workers = 0;  // usable ones in reach
     bool enough = true;    // for the work in hand
   };
-  using Reaches = std::map<std::string, Reach>;
-  const Reaches& reaches() const { return m_reaches; }
-  void NoteReaches(Reaches reaches) { m_reaches = std::move(reaches); }
+  using Subsets = std::map<std::string, Subset>;
+  const Subsets& subsets() const { return m_subsets; }
+  void SetSubsets(Subsets subsets) { m_subsets = std::move(subsets); }
   // None of the linked workers could hold what waits.
-  void NoteNotEnough(const std::string& service) {
-    m_reaches[service].enough = false;
+  void MarkSubsetInsufficient(const std::string& service) {
+    m_subsets[service].enough = false;
   }
 
-  std::map<std::string, WorkerSeat>& seats() { return m_seats; }
-  const std::map<std::string, WorkerSeat>& seats() const { return m_seats; }
+  std::map<std::string, PooledWorker>& workers() { return m_seats; }
+  const std::map<std::string, PooledWorker>& workers() const { return m_seats; }
 
  private:
   bool MayBeEjected(MonoTime now) const;
-  double Score(const WorkerSeat& seat, const TaskNeeds& needs);
+  double Score(const PooledWorker& worker, const TaskNeeds& needs);
 
-  std::map<std::string, WorkerSeat> m_seats;
-  Reaches m_reaches;
+  std::map<std::string, PooledWorker> m_seats;
+  Subsets m_subsets;
   Evacuations m_evacuations;
   const uint64_t m_seed;
   std::minstd_rand m_random;
--- a/src/worker_reach.cc
+++ b/src/worker_subset.cc
@@ -4,7 +4,7 @@
 // twenty. That evens out by itself: where more entries meet, their starts find
 // no room and go on to other workers, and an entry that waits asks some of
 // those out of its reach.
-#include "worker_reach.h"
+#include "worker_subset.h"
 
 #include <xxhash.h>
 
@@ -27,61 +27,61 @@
   double millicores = 0;
 };
 
-double RoomWantedFor(const WorkInHand& in_hand, const std::string& service) {
+double RoomWantedFor(const OpenWork& in_hand, const std::string& service) {
   const auto work = in_hand.find(service);
   return work == in_hand.end() ? 0 : kSpare * work->second;
 }
 
-std::vector<WorkerSeat*> InOrder(WorkerPool& pool) {
-  std::vector<WorkerSeat*> order;
-  for (auto& [name, seat] : pool.seats()) {
-    order.push_back(&seat);
+std::vector<PooledWorker*> InOrder(WorkerPool& pool) {
+  std::vector<PooledWorker*> order;
+  for (auto& [name, worker] : pool.workers()) {
+    order.push_back(&worker);
   }
   std::sort(order.begin(), order.end(),
-            [](const WorkerSeat* left, const WorkerSeat* right) {
-              return left->place_in_order < right->place_in_order;
+            [](const PooledWorker* left, const PooledWorker* right) {
+              return left->rendezvous_hash < right->rendezvous_hash;
             });
   return order;
 }
 
 }  // namespace
 
-uint64_t PlaceInOrder(std::string_view agent, uint64_t seed) {
+uint64_t RendezvousHash(std::string_view agent, uint64_t seed) {
   return XXH64(agent.data(), agent.size(), seed);
 }
 
-void SetReach(WorkerPool& pool, const WorkInHand& in_hand, MonoTime now) {
+void SelectSubset(WorkerPool& pool, const OpenWork& in_hand, MonoTime now) {
   std::map<std::string, Reached> reached;
   for (const auto& [service, millicores] : in_hand) {
     reached[service] = {};
   }
-  for (WorkerSeat* seat : InOrder(pool)) {
-    const std::string& service = seat->status.service;
+  for (PooledWorker* worker : InOrder(pool)) {
+    const std::string& service = worker->status.service;
     Reached& so_far = reached[service];
-    seat->in_reach = so_far.workers < kLeastWorkers ||
+    worker->in_subset = so_far.workers < kLeastWorkers ||
                      so_far.millicores < RoomWantedFor(in_hand, service);
-    if (seat->in_reach && seat->Usable(now)) {
+    if (worker->in_subset && worker->Usable(now)) {
       ++so_far.workers;
-      so_far.millicores += seat->status.capacity.millicores;
+      so_far.millicores += worker->status.capacity.millicores;
     }
   }
-  WorkerPool::Reaches reaches;
+  WorkerPool::Subsets subsets;
   for (const auto& [service, all] : reached) {
     const bool enough = all.millicores >= RoomWantedFor(in_hand, service);
-    reaches[service] = {all.workers, enough};
+    subsets[service] = {all.workers, enough};
   }
-  pool.NoteReaches(std::move(reaches));
+  pool.SetSubsets(std::move(subsets));
 }
 
-void SetReachToAll(WorkerPool& pool) {
-  WorkerPool::Reaches reaches;
-  for (auto& [name, seat] : pool.seats()) {
-    seat.in_reach = true;
-    WorkerPool::Reach& reach = reaches[seat.status.service];
+void SelectAllWorkers(WorkerPool& pool) {
+  WorkerPool::Subsets subsets;
+  for (auto& [name, worker] : pool.workers()) {
+    worker.in_subset = true;
+    WorkerPool::Subset& reach = subsets[worker.status.service];
     ++reach.workers;
     reach.enough = false;  // all there are
   }
-  pool.NoteReaches(std::move(reaches));
+  pool.SetSubsets(std::move(subsets));
 }
 
 }  // namespace egretswitch::internal
--- a/src/worker_reach.h
+++ b/src/worker_subset.h
@@ -10,8 +10,8 @@
 // in seconds, while a worker's room changes some thirty times a second: what it
 // believes of the room is of no use, and half of its starts are in vain. With
 // few workers it hears from each of them often.
-#ifndef EGRETSWITCH_SRC_WORKER_REACH_H_
-#define EGRETSWITCH_SRC_WORKER_REACH_H_
+#ifndef EGRETSWITCH_SRC_WORKER_SUBSET_H_
+#define EGRETSWITCH_SRC_WORKER_SUBSET_H_
 
 #include <cstdint>
 #include <map>
@@ -24,18 +24,18 @@
 namespace egretswitch::internal {
 
 // Of the tasks in hand of each service, waiting and running, in millicores.
-using WorkInHand = std::map<std::string, double>;
+using OpenWork = std::map<std::string, double>;
 
 // The agent's place in the order of the entry with this seed.
-uint64_t PlaceInOrder(std::string_view agent, uint64_t seed);
+uint64_t RendezvousHash(std::string_view agent, uint64_t seed);
 
-// Sets WorkerSeat::in_reach of every seat. A worker that can't be used now is
+// Sets PooledWorker::in_subset of every seat. A worker that can't be used now is
 // not counted, so others take its place.
-void SetReach(WorkerPool& pool, const WorkInHand& in_hand, MonoTime now);
+void SelectSubset(WorkerPool& pool, const OpenWork& in_hand, MonoTime now);
 
 // Every worker, for entries that are to use the whole fleet.
-void SetReachToAll(WorkerPool& pool);
+void SelectAllWorkers(WorkerPool& pool);
 
 }  // namespace egretswitch::internal
 
-#endif  // EGRETSWITCH_SRC_WORKER_REACH_H_
+#endif  // EGRETSWITCH_SRC_WORKER_SUBSET_H_
--- a/test/evacuations_test.cc
+++ b/test/evacuations_test.cc
@@ -12,7 +12,7 @@
 
 BOOST_AUTO_TEST_CASE(record_of_an_evacuation_adds_to_what_was_known) {
   const Evacuations after =
-      AfterRead(kSouth, {.records = {{"north", true, 13}}, .through = 13});
+      ApplyRead(kSouth, {.records = {{"north", true, 13}}, .through = 13});
   BOOST_TEST(after.Covers("north"));
   BOOST_TEST(after.Covers("south"));
   BOOST_TEST(!after.Covers("east"));
@@ -21,12 +21,12 @@
 
 BOOST_AUTO_TEST_CASE(record_of_a_taking_back_ends_the_evacuation) {
   const Evacuations after =
-      AfterRead(kSouth, {.records = {{"south", false, 13}}, .through = 13});
+      ApplyRead(kSouth, {.records = {{"south", false, 13}}, .through = 13});
   BOOST_TEST(after.data_centres.empty());
 }
 
 BOOST_AUTO_TEST_CASE(evacuation_repeated_and_taken_back_in_one_read_ends) {
-  const Evacuations after = AfterRead(kSouth, {.records = {{"south", true, 13},
+  const Evacuations after = ApplyRead(kSouth, {.records = {{"south", true, 13},
                                                            {"south", true, 14},
                                                            {"south", false, 15},
                                                            {"north", true, 16},
@@ -38,29 +38,29 @@
 }
 
 BOOST_AUTO_TEST_CASE(absence_from_a_whole_read_is_a_taking_back) {
-  const Evacuations after = AfterRead(
+  const Evacuations after = ApplyRead(
       kSouth, {.records = {{"north", true, 9}}, .through = 13, .whole = true});
   BOOST_TEST(!after.Covers("south"));
   BOOST_TEST(after.Covers("north"));
 }
 
 BOOST_AUTO_TEST_CASE(absence_from_a_read_that_is_not_whole_says_nothing) {
-  const Evacuations after = AfterRead(kSouth, {.records = {}, .through = 40});
+  const Evacuations after = ApplyRead(kSouth, {.records = {}, .through = 40});
   BOOST_TEST(after.Covers("south"));
 }
 
 BOOST_AUTO_TEST_CASE(read_that_is_older_than_what_is_held_changes_nothing) {
   const EvacuationsRead old_whole = {
       .records = {}, .through = 11, .whole = true};
-  BOOST_TEST((AfterRead(kSouth, old_whole) == kSouth));
+  BOOST_TEST((ApplyRead(kSouth, old_whole) == kSouth));
   const EvacuationsRead old_record = {.records = {{"south", false, 11}},
                                       .through = 11};
-  BOOST_TEST((AfterRead(kSouth, old_record) == kSouth));
+  BOOST_TEST((ApplyRead(kSouth, old_record) == kSouth));
 }
 
 // A neighbour was ahead of this process, whose own read now catches up.
 BOOST_AUTO_TEST_CASE(records_that_are_counted_already_are_passed_over) {
-  const Evacuations after = AfterRead(
+  const Evacuations after = ApplyRead(
       kSouth,
       {.records = {{"south", false, 10}, {"north", true, 13}}, .through = 13});
   BOOST_TEST(after.Covers("south"));
--- a/test/fake_run_worker.cc
+++ b/test/fake_run_worker.cc
@@ -61,7 +61,7 @@
   } else if (call.lease_until_ms <= clock) {
     verdict = CallVerdict::kTooLate;
   } else if (!Fits(needs, Free())) {
-    verdict = CallVerdict::kNoRoom;
+    verdict = CallVerdict::kNoCapacity;
   }
   const int64_t longest = clock + 1000;
   m_lease_until_ms =
--- a/test/job_dispatcher_test.cc
+++ b/test/job_dispatcher_test.cc
@@ -74,7 +74,7 @@
 BOOST_AUTO_TEST_CASE(
     job_that_waits_asks_some_agents_at_a_time_and_each_in_turn) {
   constexpr int kAgents = 100;
-  constexpr size_t kOthers = RunRenewals::kOthersAsked;
+  constexpr size_t kOthers = RunRenewals::kMaxOutsideRequests;
   for (int i = 0; i < kAgents; ++i) {
     const std::string agent = "agent-" + std::to_string(i);
     Do(PeerUp{agent, 1});
@@ -101,7 +101,7 @@
     first = i == 0 ? now_asked : first;
   }
   BOOST_TEST(first <= 2u, "one task waits");
-  BOOST_TEST(most <= RunRenewals::kMostAsked + kOthers);
+  BOOST_TEST(most <= RunRenewals::kMaxSubsetRequests + kOthers);
   BOOST_TEST(asked.size() == static_cast<size_t>(kAgents));
 }
 
@@ -151,7 +151,7 @@
   Arrive(1, 1);
   AddAgent("agent-2");
   const auto actions =
-      Report("agent-1", {End(0, RunEnd::kNoRoom)}, Status({0, 0, 0}));
+      Report("agent-1", {End(0, RunEnd::kNoCapacity)}, Status({0, 0, 0}));
   const auto starts = SentTo<StartRuns>("agent-2", actions);
   BOOST_REQUIRE(starts.size() == 1u);
   BOOST_TEST(starts[0].runs[0].run == 2u);
@@ -205,7 +205,7 @@
 BOOST_AUTO_TEST_CASE(job_refused_by_every_agent_is_refused_as_not_run) {
   AddAgent("agent-1");
   Arrive(1, 1);
-  Report("agent-1", {End(0, RunEnd::kNoRoom)}, Status({0, 0, 0}));
+  Report("agent-1", {End(0, RunEnd::kNoCapacity)}, Status({0, 0, 0}));
   const auto answers = Answers(Pass(absl::Seconds(3)));
   BOOST_REQUIRE(answers.size() == 1u);
   BOOST_TEST((answers[0].verdict == JobVerdict::kNotRun));
@@ -267,7 +267,7 @@
     agent_silent_under_runs_is_dialled_before_they_are_stopped) {
   AddAgent("agent-1");
   Arrive(1, 1);
-  const absl::Duration left = kEntrySilence - kRenewPeriod;
+  const absl::Duration left = kRunLease - kRenewPeriod;
   const auto dials = ActionsOf<DialAgain>(Pass(left - absl::Milliseconds(80)));
   BOOST_REQUIRE(dials.size() == 1u);
   BOOST_TEST(dials[0].peer == "agent-1");
@@ -287,7 +287,7 @@
     AddAgent("agent-" + std::to_string(i));
   }
   Arrive(1, 300);
-  Pass(kLinkDoubt);
+  Pass(kLinkRedialAfter);
   size_t dialled = 0;
   for (int i = 0; i < 10; ++i) {
     const size_t now =
@@ -348,7 +348,7 @@
 BOOST_AUTO_TEST_CASE(pause_longer_than_the_limit_ends_every_job) {
   AddAgent("agent-1");
   Arrive(1, 1);
-  clock.Advance(kPauseLimit + absl::Milliseconds(1));
+  clock.Advance(kMaxEntryPause + absl::Milliseconds(1));
   const auto actions = Do(TimePassed{});
   BOOST_TEST(SentTo<StopRuns>("agent-1", actions).size() == 1u);
   const auto answers = Answers(actions);
@@ -360,7 +360,7 @@
 // and a later attempt of it may run elsewhere.
 BOOST_AUTO_TEST_CASE(request_read_right_after_a_pause_is_refused_as_not_run) {
   AddAgent("agent-1");
-  clock.Advance(kPauseLimit + absl::Milliseconds(1));
+  clock.Advance(kMaxEntryPause + absl::Milliseconds(1));
   const auto actions = Arrive(1, 1);
   BOOST_TEST(SentTo<StartRuns>("agent-1", actions).empty());
   const auto answers = Answers(actions);
@@ -370,7 +370,7 @@
 
 BOOST_AUTO_TEST_CASE(request_read_later_after_a_pause_is_served) {
   AddAgent("agent-1");
-  clock.Advance(kPauseLimit + absl::Milliseconds(1));
+  clock.Advance(kMaxEntryPause + absl::Milliseconds(1));
   Do(TimePassed{});
   Pass(absl::Milliseconds(200));
   BOOST_TEST(SentTo<StartRuns>("agent-1", Arrive(1, 1)).size() == 1u);
@@ -378,7 +378,7 @@
 
 BOOST_AUTO_TEST_CASE(idle_dispatcher_asks_to_be_called_well_within_the_limit) {
   AddAgent("agent-1");
-  BOOST_TEST((dispatcher.NextWake() - clock.now().mono <= kPauseLimit / 4));
+  BOOST_TEST((dispatcher.NextWake() - clock.now().mono <= kMaxEntryPause / 4));
 }
 
 // It has no runs there whose ends would tell of room.
--- a/test/link_selection_test.cc
+++ b/test/link_selection_test.cc
@@ -12,7 +12,7 @@
 
 #include "absl/strings/str_cat.h"
 #include "run_fixture.h"
-#include "worker_reach.h"
+#include "worker_subset.h"
 
 namespace egretswitch::internal {
 namespace {
@@ -63,7 +63,7 @@
   }
 
   void LinkUp(const std::string& agent) {
-    WorkerSeat& seat = pool.LinkUp(agent, 1, "south", clock.now().mono);
+    PooledWorker& worker = pool.LinkUp(agent, 1, "south", clock.now().mono);
     RunReports reports;
     reports.worker = {.worker = "w-" + agent,
                       .service = "desk",
@@ -71,7 +71,7 @@
                       .capacity = kWholeWorker,
                       .free = kWholeWorker,
                       .accepting = true};
-    pool.Update(seat, reports, clock.now().mono);
+    pool.Update(worker, reports, clock.now().mono);
   }
 
   void LinkDown(const std::string& agent) {
@@ -85,8 +85,8 @@
     for (int i = 0; i < 20; ++i) {
       chosen = Choose();
       for (const std::string& agent : chosen.agents) {
-        const WorkerSeat* seat = pool.Find(agent);
-        if (!dead.contains(agent) && (seat == nullptr || !seat->linked)) {
+        const PooledWorker* worker = pool.Find(agent);
+        if (!dead.contains(agent) && (worker == nullptr || !worker->linked)) {
           LinkUp(agent);
         }
       }
@@ -97,12 +97,12 @@
 
   size_t Linked() const {
     return static_cast<size_t>(
-        std::count_if(pool.seats().begin(), pool.seats().end(),
-                      [](const auto& seat) { return seat.second.linked; }));
+        std::count_if(pool.workers().begin(), pool.workers().end(),
+                      [](const auto& worker) { return worker.second.linked; }));
   }
 
   void HaveWork(double millicores) {
-    SetReach(pool, {{"desk", millicores}}, clock.now().mono);
+    SelectSubset(pool, {{"desk", millicores}}, clock.now().mono);
   }
 
   static constexpr uint64_t kSeed = 5;
@@ -163,7 +163,7 @@
   for (int i = 0; i < 800; ++i) {
     dead.insert(AgentName(i));
   }
-  BOOST_TEST(LinkAll(dead).agents.size() == 3 * LinkSelection::kLeastAgents);
+  BOOST_TEST(LinkAll(dead).agents.size() == 3 * LinkSelection::kMinAgents);
 }
 
 // Agents that have just started have not met their workers yet.
@@ -173,7 +173,7 @@
     pool.LinkUp(agent, 1, "south", clock.now().mono);
   }
   clock.Advance(absl::Milliseconds(1900));
-  BOOST_TEST(Choose().agents.size() == LinkSelection::kLeastAgents);
+  BOOST_TEST(Choose().agents.size() == LinkSelection::kMinAgents);
 }
 
 // As when all data centres but one are evacuated.
@@ -243,7 +243,7 @@
     LinkSelectionFixture fixture;
     fixture.selection.SetMembers(Deployment(entries, agents));
     const Dialled chosen = fixture.LinkAll();
-    BOOST_TEST(chosen.agents.size() == LinkSelection::kLeastAgents);
+    BOOST_TEST(chosen.agents.size() == LinkSelection::kMinAgents);
     BOOST_TEST(chosen.entries.size() <= 12u);
   }
 }
@@ -265,7 +265,7 @@
         chosen_by[peer.name] += peer.role == ProcessRole::kAgent ? 1 : 0;
       }
     }
-    const double mean = 1.0 * entries * LinkSelection::kLeastAgents / agents;
+    const double mean = 1.0 * entries * LinkSelection::kMinAgents / agents;
     for (int i = 0; i < agents; ++i) {
       BOOST_TEST(chosen_by[AgentName(i)] >= 1);
       BOOST_TEST(chosen_by[AgentName(i)] <= 3 * mean);
@@ -309,7 +309,7 @@
   }
   LinkAll(dead);
   LinkAll(dead);
-  BOOST_TEST(Linked() >= LinkSelection::kLeastAgents);
+  BOOST_TEST(Linked() >= LinkSelection::kMinAgents);
 }
 
 BOOST_AUTO_TEST_CASE(agents_back_from_the_dead_take_their_places_again) {
@@ -335,7 +335,7 @@
   for (const std::string& agent : after.agents) {
     kept += before.agents.contains(agent) ? 1 : 0;
   }
-  BOOST_TEST(kept >= LinkSelection::kLeastAgents - 10);
+  BOOST_TEST(kept >= LinkSelection::kMinAgents - 10);
 }
 
 BOOST_AUTO_TEST_CASE(work_beyond_what_is_linked_opens_further_links) {
@@ -353,11 +353,11 @@
   LinkAll();
   HaveWork(50.0 * kWholeWorker.millicores);
   const size_t in_burst = LinkAll().agents.size();
-  BOOST_TEST(in_burst > LinkSelection::kLeastAgents);
+  BOOST_TEST(in_burst > LinkSelection::kMinAgents);
   HaveWork(0);
   BOOST_TEST(Choose().agents.size() == in_burst);
   clock.Advance(absl::Seconds(6));
-  BOOST_TEST(Choose().agents.size() == LinkSelection::kLeastAgents);
+  BOOST_TEST(Choose().agents.size() == LinkSelection::kMinAgents);
 }
 
 BOOST_AUTO_TEST_CASE(agent_with_runs_stays_linked_whatever_its_place) {
--- a/test/lost_runs_test.cc
+++ b/test/lost_runs_test.cc
@@ -15,7 +15,7 @@
 struct LostRunsFixture {
   // As an entry does: the loss is one of the workers', too.
   LossVerdict Lose(const std::string& agent, MonoTime at, RunLoss loss) {
-    losses.Note(agent, at);
+    losses.Record(agent, at);
     lost.push_back({agent, at, loss});
     return JudgeLostRuns(lost, losses);
   }
@@ -65,22 +65,22 @@
 // Guards against a task that is blamed for racks that lose power.
 BOOST_AUTO_TEST_CASE(crashes_beside_those_of_others_are_not_the_tasks_fault) {
   Crash("agent-1", kFirst);
-  losses.Note("agent-7", kFirst + absl::Milliseconds(200));
+  losses.Record("agent-7", kFirst + absl::Milliseconds(200));
   BOOST_TEST((Crash("agent-2", kSecond) == LossVerdict::kTryAgain));
 }
 
 // Guards against a task that hides behind the losses of others.
 BOOST_AUTO_TEST_CASE(third_crash_is_the_tasks_fault_beside_others_too) {
-  losses.Note("agent-7", kFirst);
+  losses.Record("agent-7", kFirst);
   Crash("agent-1", kFirst);
-  losses.Note("agent-8", kSecond);
+  losses.Record("agent-8", kSecond);
   Crash("agent-2", kSecond);
-  losses.Note("agent-7", kThird);
+  losses.Record("agent-7", kThird);
   BOOST_TEST((Crash("agent-3", kThird) == LossVerdict::kCrashesWorkers));
 }
 
 BOOST_AUTO_TEST_CASE(crash_long_after_those_of_others_counts) {
-  losses.Note("agent-7", kFirst - absl::Seconds(5));
+  losses.Record("agent-7", kFirst - absl::Seconds(5));
   Crash("agent-1", kFirst);
   BOOST_TEST((Crash("agent-2", kSecond) == LossVerdict::kCrashesWorkers));
 }
--- a/test/refused_starts_test.cc
+++ b/test/refused_starts_test.cc
@@ -123,7 +123,7 @@
   BOOST_TEST(ToldNotAccepting(actions));
   BOOST_REQUIRE(Reports(actions).size() == 1u);
   BOOST_TEST((Reports(actions)[0].end == RunEnd::kUnreachable));
-  BOOST_TEST(!ToldAccepting(Pass(kWorkerSilence)));
+  BOOST_TEST(!ToldAccepting(Pass(kWorkerTimeout)));
 }
 
 // Guards against a worker that is back and left without work: the look that
--- a/test/run_keeper_test.cc
+++ b/test/run_keeper_test.cc
@@ -33,7 +33,7 @@
   BOOST_TEST(ActionsOf<StartCall>(actions).size() == 10u);
   const auto reports = Reports(actions);
   BOOST_REQUIRE(reports.size() == 1u);
-  BOOST_TEST((reports[0].end == RunEnd::kNoRoom));
+  BOOST_TEST((reports[0].end == RunEnd::kNoCapacity));
 }
 
 BOOST_AUTO_TEST_CASE(start_numbered_as_a_run_of_a_former_attempt_is_refused) {
@@ -52,7 +52,7 @@
   Do(PeerUp{"entry-1", 7});
   MeetWorker("i-1");
   const StartRuns start = Start(1);
-  clock.Advance(kStartFreshness + absl::Milliseconds(1));
+  clock.Advance(kMaxStartAge + absl::Milliseconds(1));
   const RunKeeperActions actions = Say(start);
   BOOST_TEST(ActionsOf<StartCall>(actions).empty());
   BOOST_REQUIRE(Reports(actions).size() == 1u);
@@ -179,7 +179,7 @@
 
 BOOST_AUTO_TEST_CASE(long_look_unanswered_is_doubled_by_a_quick_one) {
   RunOneTask();
-  const auto quick = ActionsOf<LookCall>(Pass(kLookDoubt));
+  const auto quick = ActionsOf<LookCall>(Pass(kSecondPollDelay));
   BOOST_REQUIRE(quick.size() == 1u);
   BOOST_TEST((quick[0].wait == absl::ZeroDuration()));
   BOOST_TEST(quick[0].lease_until_ms > 0);
@@ -211,8 +211,8 @@
 
 BOOST_AUTO_TEST_CASE(looks_follow_each_other_and_renew_the_lease) {
   const LookCall look = RunOneTask();
-  BOOST_TEST((look.wait == kLookWait));
-  clock.Advance(kLookWait);
+  BOOST_TEST((look.wait == kPollWait));
+  clock.Advance(kPollWait);
   const LookCall next = OnlyLook(AnswerLook(look, {Key(0)}, {}));
   BOOST_TEST(next.lease_until_ms ==
              5000 + clock.ms() + absl::ToInt64Milliseconds(kWorkerLease));
@@ -221,7 +221,7 @@
 BOOST_AUTO_TEST_CASE(entry_silent_for_its_bound_has_its_runs_stopped) {
   RunOneTask();
   BOOST_TEST(
-      ActionsOf<StopCall>(Pass(kEntrySilence - absl::Milliseconds(1))).empty());
+      ActionsOf<StopCall>(Pass(kRunLease - absl::Milliseconds(1))).empty());
   const auto stops = ActionsOf<StopCall>(Pass(absl::Milliseconds(1)));
   BOOST_REQUIRE(stops.size() == 1u);
   BOOST_TEST((stops[0].key == Key(0)));
@@ -233,8 +233,8 @@
   clock.Advance(absl::Milliseconds(300));  // it is under way for 200 ms
   Say(renewal);
   BOOST_TEST((keeper.NextWake() <=
-              absl::Milliseconds(renewal.sent_at_ms) + kEntrySilence));
-  clock.Advance(kEntrySilence - absl::Milliseconds(200));
+              absl::Milliseconds(renewal.sent_at_ms) + kRunLease));
+  clock.Advance(kRunLease - absl::Milliseconds(200));
   BOOST_TEST(ActionsOf<StopCall>(Do(TimePassed{})).size() == 1u);
 }
 
@@ -345,7 +345,7 @@
   const auto first = ActionsOf<StartCall>(Say(Start(1, 5)));
   const auto looks = ActionsOf<LookCall>(Pass(kStartRetry));
   BOOST_REQUIRE(looks.size() == 2u);
-  BOOST_TEST((looks[0].wait == kLookWait));
+  BOOST_TEST((looks[0].wait == kPollWait));
   BOOST_TEST((looks[1].wait == absl::ZeroDuration()));
   const auto reports =
       Reports(AnswerLook(looks[0], {}, {{1, Key(0), WorkerRunEnd::kDone}}));
@@ -417,18 +417,18 @@
   MeetWorker("i-1");
   const auto first = ActionsOf<StartCall>(Say(Start(1)));
   const auto second = ActionsOf<StartCall>(Pass(kStartRetry));
-  Do(StartAnswered{first[0], Answer(CallVerdict::kNoRoom)});
+  Do(StartAnswered{first[0], Answer(CallVerdict::kNoCapacity)});
   const auto reports =
-      Reports(Do(StartAnswered{second[0], Answer(CallVerdict::kNoRoom)}));
+      Reports(Do(StartAnswered{second[0], Answer(CallVerdict::kNoCapacity)}));
   BOOST_REQUIRE(reports.size() == 1u);
-  BOOST_TEST((reports[0].end == RunEnd::kNoRoom));
+  BOOST_TEST((reports[0].end == RunEnd::kNoCapacity));
 }
 
 // Its processor is not the agent's alone: what waits for a look must not wake
 // it again and again meanwhile.
 BOOST_AUTO_TEST_CASE(stop_answered_of_a_silent_entry_wakes_nobody_in_the_past) {
   RunOneTask();
-  const auto stops = ActionsOf<StopCall>(Pass(kEntrySilence));
+  const auto stops = ActionsOf<StopCall>(Pass(kRunLease));
   BOOST_REQUIRE(stops.size() == 1u);
   Do(StopAnswered{stops[0], Answer()});
   BOOST_TEST((keeper.NextWake() > clock.now().mono));
--- a/test/run_world_evacuations.cc
+++ b/test/run_world_evacuations.cc
@@ -35,7 +35,7 @@
 }
 
 void RunWorld::TellEvacuations(int entry) {
-  if (!m_evacuations.Known() || m_entries[entry].node == nullptr) {
+  if (!m_evacuations.IsLoaded() || m_entries[entry].node == nullptr) {
     return;
   }
   m_entries[entry].evacuations_told = m_evacuations.through;
--- a/test/suspects_test.cc
+++ b/test/suspects_test.cc
@@ -109,7 +109,7 @@
 
 struct SuspectMsFixture {
   void Crash(const std::string& agent, MonoTime at) {
-    losses.Note(agent, at);
+    losses.Record(agent, at);
     lost.push_back({agent, at, RunLoss::kWorkerCrashed, kCrashedAfterMs});
   }
 
@@ -129,22 +129,22 @@
 // Guards against the tasks of a rack that lost its power once: each would have
 // a worker to itself.
 BOOST_AUTO_TEST_CASE(task_whose_worker_crashed_beside_others_is_no_suspect) {
-  losses.Note("agent-7", kFirst);
+  losses.Record("agent-7", kFirst);
   Crash("agent-1", kFirst);
   BOOST_TEST(SuspectMs(lost, losses) == 0u);
 }
 
 // Guards against a third crash that is held against a sound task.
 BOOST_AUTO_TEST_CASE(task_under_two_crashes_beside_others_is_a_suspect) {
-  losses.Note("agent-7", kFirst);
+  losses.Record("agent-7", kFirst);
   Crash("agent-1", kFirst);
-  losses.Note("agent-8", kLater);
+  losses.Record("agent-8", kLater);
   Crash("agent-2", kLater);
   BOOST_TEST(SuspectMs(lost, losses) == kCrashedAfterMs);
 }
 
 BOOST_AUTO_TEST_CASE(task_whose_worker_fell_silent_is_no_suspect) {
-  losses.Note("agent-1", kFirst);
+  losses.Record("agent-1", kFirst);
   lost.push_back({"agent-1", kFirst, RunLoss::kWorkerGone, kCrashedAfterMs});
   BOOST_TEST(SuspectMs(lost, losses) == 0u);
 }
--- a/test/table_exchange_test.cc
+++ b/test/table_exchange_test.cc
@@ -289,10 +289,10 @@
 // The version tells a new entry that nothing is evacuated from not knowing.
 BOOST_AUTO_TEST_CASE(state_without_evacuations_is_told_once_known) {
   Entries entries(2);
-  BOOST_TEST(!entries[1].evacuations().Known());
+  BOOST_TEST(!entries[1].evacuations().IsLoaded());
   entries.Tell(0, EvacuationsRead{.records = {}, .through = 3, .whole = true});
   entries.RunFor(Ms(20));
-  BOOST_TEST(entries[1].evacuations().Known());
+  BOOST_TEST(entries[1].evacuations().IsLoaded());
 }
 
 BOOST_AUTO_TEST_CASE(part_that_goes_on_nothing_changes_nothing) {
--- a/test/worker_pool_test.cc
+++ b/test/worker_pool_test.cc
@@ -12,31 +12,31 @@
 namespace {
 
 struct WorkerPoolFixture {
-  WorkerSeat& Add(const std::string& agent, TaskNeeds free = kWholeWorker) {
-    WorkerSeat& seat = pool.LinkUp(agent, 1, "", clock.now().mono);
-    Hear(seat, free, 0);
-    return seat;
+  PooledWorker& Add(const std::string& agent, TaskNeeds free = kWholeWorker) {
+    PooledWorker& worker = pool.LinkUp(agent, 1, "", clock.now().mono);
+    Hear(worker, free, 0);
+    return worker;
   }
 
-  void Hear(WorkerSeat& seat, TaskNeeds free, uint64_t started_through) {
+  void Hear(PooledWorker& worker, TaskNeeds free, uint64_t started_through) {
     RunReports reports;
     reports.clock_ms = clock.ms();
-    reports.worker = {.worker = "i-" + seat.agent,
+    reports.worker = {.worker = "i-" + worker.agent,
                       .service = "desk",
                       .kind = "a",
                       .capacity = kWholeWorker,
                       .free = free,
                       .started_through = started_through,
                       .accepting = true};
-    pool.Update(seat, reports, clock.now().mono);
+    pool.Update(worker, reports, clock.now().mono);
   }
 
-  WorkerSeat* Pick(const std::set<std::string>& avoid = {}) {
+  PooledWorker* Pick(const std::set<std::string>& avoid = {}) {
     return pool.Pick("desk", kSixCores, avoid, clock.now().mono);
   }
 
-  bool Bad(WorkerSeat& seat, const std::string& job) {
-    return pool.RunWentBadly(seat, job, clock.now().mono);
+  bool Bad(PooledWorker& worker, const std::string& job) {
+    return pool.RecordBadRun(worker, job, clock.now().mono);
   }
 
   VirtualClock clock;
@@ -52,46 +52,46 @@
 }
 
 BOOST_AUTO_TEST_CASE(pick_learnt_slow_worker_is_the_last_choice) {
-  WorkerSeat& slow = Add("slow");
-  WorkerSeat& fast = Add("fast", {32000, 1024, 0});
+  PooledWorker& slow = Add("slow");
+  PooledWorker& fast = Add("fast", {32000, 1024, 0});
   for (int i = 0; i < 20; ++i) {
-    pool.RunWentWell(slow, 300, 100);
-    pool.RunWentWell(fast, 100, 100);
+    pool.RecordGoodRun(slow, 300, 100);
+    pool.RecordGoodRun(fast, 100, 100);
   }
   BOOST_TEST(Pick()->agent == "fast");
   BOOST_TEST(Pick({"fast"})->agent == "slow");
 }
 
 BOOST_AUTO_TEST_CASE(pick_without_room_service_or_link_gives_none) {
-  WorkerSeat& seat = Add("agent-1", {5999, 1024, 0});
+  PooledWorker& worker = Add("agent-1", {5999, 1024, 0});
   BOOST_TEST(Pick() == nullptr);
-  Hear(seat, kWholeWorker, 0);
+  Hear(worker, kWholeWorker, 0);
   BOOST_TEST(pool.Pick("other", kSixCores, {}, clock.now().mono) == nullptr);
-  seat.linked = false;
+  worker.linked = false;
   BOOST_TEST(Pick() == nullptr);
 }
 
 BOOST_AUTO_TEST_CASE(pick_agent_with_an_unanswered_renewal_is_left_out) {
-  WorkerSeat& seat = Add("agent-1");
-  seat.unanswered_since = clock.now().mono;
-  clock.Advance(kAgentSuspect);
+  PooledWorker& worker = Add("agent-1");
+  worker.unanswered_since = clock.now().mono;
+  clock.Advance(kAgentSuspectAfter);
   BOOST_TEST(Pick() != nullptr);
   clock.Advance(absl::Milliseconds(1));
   BOOST_TEST(Pick() == nullptr);
 }
 
 BOOST_AUTO_TEST_CASE(room_counts_starts_that_the_report_does_not) {
-  WorkerSeat& seat = Add("agent-1");
-  pool.Take(seat, kSixCores, 2);
-  BOOST_TEST(seat.free.millicores == 52000u);
-  Hear(seat, kWholeWorker, 0);  // sent before the start arrived
-  BOOST_TEST(seat.free.millicores == 52000u);
-  Hear(seat, {52000, 1024, 0}, seat.last_sequence);
-  BOOST_TEST(seat.free.millicores == 52000u);
+  PooledWorker& worker = Add("agent-1");
+  pool.ChargeStart(worker, kSixCores, 2);
+  BOOST_TEST(worker.free.millicores == 52000u);
+  Hear(worker, kWholeWorker, 0);  // sent before the start arrived
+  BOOST_TEST(worker.free.millicores == 52000u);
+  Hear(worker, {52000, 1024, 0}, worker.last_sequence);
+  BOOST_TEST(worker.free.millicores == 52000u);
 }
 
 BOOST_AUTO_TEST_CASE(ejection_after_three_jobs_in_a_row_ends_in_probation) {
-  WorkerSeat& bad = Add("bad");
+  PooledWorker& bad = Add("bad");
   Add("agent-2");
   Add("agent-3");
   BOOST_TEST(!Bad(bad, "a"));
@@ -100,18 +100,18 @@
   BOOST_TEST(Pick({"agent-2", "agent-3"}) == nullptr);
   clock.Advance(absl::Seconds(2));
   BOOST_TEST(Pick({"agent-2", "agent-3"}) == &bad);
-  pool.Take(bad, kSixCores, 1);
+  pool.ChargeStart(bad, kSixCores, 1);
   BOOST_TEST(Pick({"agent-2", "agent-3"}) == nullptr);  // one at a time
-  pool.RunWentWell(bad, 100, 100);
+  pool.RecordGoodRun(bad, 100, 100);
   BOOST_TEST(Pick({"agent-2", "agent-3"}) == &bad);
 }
 
 BOOST_AUTO_TEST_CASE(job_that_fails_again_and_again_ejects_nobody) {
-  WorkerSeat& seat = Add("agent-1");
+  PooledWorker& worker = Add("agent-1");
   Add("agent-2");
   Add("agent-3");
   for (int i = 0; i < 10; ++i) {
-    BOOST_TEST(!Bad(seat, "poison"));
+    BOOST_TEST(!Bad(worker, "poison"));
   }
 }
 
@@ -120,9 +120,9 @@
     Add(agent);
   }
   int ejected = 0;
-  for (auto& [agent, seat] : pool.seats()) {
+  for (auto& [agent, worker] : pool.workers()) {
     for (const char* job : {"x", "y", "z"}) {
-      ejected += Bad(seat, job) ? 1 : 0;
+      ejected += Bad(worker, job) ? 1 : 0;
     }
   }
   BOOST_TEST(ejected == 2);
--- a/test/worker_reach_test.cc
+++ b/test/worker_subset_test.cc
@@ -1,5 +1,5 @@
 // Which workers an entry deals with, by what it has in hand.
-#include "worker_reach.h"
+#include "worker_subset.h"
 
 #include <boost/test/unit_test.hpp>
 #include <set>
@@ -25,7 +25,7 @@
   }
 
   void Link(WorkerPool& pool, const std::string& agent) {
-    WorkerSeat& seat = pool.LinkUp(agent, 1, "", clock.now().mono);
+    PooledWorker& worker = pool.LinkUp(agent, 1, "", clock.now().mono);
     RunReports reports;
     reports.clock_ms = clock.ms();
     reports.worker = {.worker = "i-" + agent,
@@ -35,19 +35,19 @@
                       .free = {64'000, 131'072, 0},
                       .started_through = 0,
                       .accepting = true};
-    pool.Update(seat, reports, clock.now().mono);
+    pool.Update(worker, reports, clock.now().mono);
   }
 
   // With so many workers' room of tasks in hand.
   void Reach(WorkerPool& pool, double workers_in_hand) {
-    SetReach(pool, {{"desk", workers_in_hand * kWorkerMillicores}},
+    SelectSubset(pool, {{"desk", workers_in_hand * kWorkerMillicores}},
              clock.now().mono);
   }
 
   static std::set<std::string> InReach(const WorkerPool& pool) {
     std::set<std::string> names;
-    for (const auto& [name, seat] : pool.seats()) {
-      if (seat.in_reach) {
+    for (const auto& [name, worker] : pool.workers()) {
+      if (worker.in_subset) {
         names.insert(name);
       }
     }
@@ -111,12 +111,12 @@
   Reach(pool, 0);
   std::set<std::string> reached = InReach(pool);
   std::string other;
-  for (const auto& [name, seat] : pool.seats()) {
-    other = seat.in_reach ? other : name;
+  for (const auto& [name, worker] : pool.workers()) {
+    other = worker.in_subset ? other : name;
   }
-  BOOST_TEST(pool.Find(other)->KnownWell(clock.now().mono));
+  BOOST_TEST(pool.Find(other)->HasFreshStatus(clock.now().mono));
   clock.Advance(absl::Milliseconds(20));
-  BOOST_TEST(!pool.Find(other)->KnownWell(clock.now().mono));
+  BOOST_TEST(!pool.Find(other)->HasFreshStatus(clock.now().mono));
 }
 
 // Entries that together use three quarters of the fleet reach nearly all of it,
