--- a/src/capacity_reservations.cc
+++ b/src/capacity_reservations.cc
@@ -7,35 +7,36 @@
 namespace egretswitch::internal {
 namespace {
 
-// A message each way takes 1 to 2 ms between data centres, and an entry one to
-// act on it. What is not used lies idle for so long.
-constexpr absl::Duration kPromiseLife = absl::Milliseconds(4);
+// A message each way takes 1 to 2 ms between data centres, and an entry takes
+// 1 ms to act on it. Capacity that is not used stays idle for this long.
+constexpr absl::Duration kReservationTime = absl::Milliseconds(4);
 
 }  // namespace
 
 void CapacityReservations::Reserve(const std::string& entry,
-                        const TaskNeeds& needs,
-                        MonoTime now) {
-  m_promises[entry] = {needs, now + kPromiseLife};
+                                   const TaskNeeds& needs,
+                                   MonoTime now) {
+  m_reservations[entry] = {needs, now + kReservationTime};
 }
 
-TaskNeeds CapacityReservations::ReservedForOthers(const std::string& entry, MonoTime now) const {
-  TaskNeeds kept;
-  for (const auto& [name, promise] : m_promises) {
-    if (name != entry && now < promise.until) {
-      kept.millicores += promise.needs.millicores;
-      kept.memory_mb += promise.needs.memory_mb;
-      kept.accelerators += promise.needs.accelerators;
+TaskNeeds CapacityReservations::ReservedForOthers(const std::string& entry,
+                                                  MonoTime now) const {
+  TaskNeeds reserved;
+  for (const auto& [name, reservation] : m_reservations) {
+    if (name != entry && now < reservation.until) {
+      reserved.millicores += reservation.needs.millicores;
+      reserved.memory_mb += reservation.needs.memory_mb;
+      reserved.accelerators += reservation.needs.accelerators;
     }
   }
-  return kept;
+  return reserved;
 }
 
 MonoTime CapacityReservations::NextExpiry(MonoTime now) const {
   MonoTime next = absl::InfiniteDuration();
-  for (const auto& [name, promise] : m_promises) {
-    if (now < promise.until) {
-      next = std::min(next, promise.until);
+  for (const auto& [name, reservation] : m_reservations) {
+    if (now < reservation.until) {
+      next = std::min(next, reservation.until);
     }
   }
   return next;
--- a/src/capacity_reservations.h
+++ b/src/capacity_reservations.h
@@ -1,12 +1,13 @@
-// Room on a worker that its agent has told one waiting entry of, and keeps from
-// the others until that entry has had time to use it.
+// Free capacity that an agent has offered to one waiting entry, and reserves
+// for it until the entry has had time to use it.
 //
-//   promises.Make("entry-1", {6200, 64, 0}, now);
-//   promises.ReservedForOthers("entry-2", now)   -> {6200, 64, 0}
-//   promises.ReservedForOthers("entry-1", now)   -> {0, 0, 0}
+//   reservations.Reserve("entry-1", {6200, 64, 0}, now);
+//   reservations.ReservedForOthers("entry-2", now)   -> {6200, 64, 0}
+//   reservations.ReservedForOthers("entry-1", now)   -> {0, 0, 0}
 //
-// Without it each entry that asks sees the same room, all but one send a start
-// for nothing, and at overload these starts fill the links of small entries.
+// Without reservations, each entry with waiting jobs would be offered the same
+// capacity. All but one of their starts would be refused, and under overload
+// such starts fill the links of small entries.
 #ifndef EGRETSWITCH_SRC_CAPACITY_RESERVATIONS_H_
 #define EGRETSWITCH_SRC_CAPACITY_RESERVATIONS_H_
 
@@ -20,24 +21,24 @@
 
 class CapacityReservations {
  public:
-  // In place of an earlier promise to the entry.
+  // Replaces an earlier reservation of the entry.
   void Reserve(const std::string& entry, const TaskNeeds& needs, MonoTime now);
-  // The entry has used its promise, or is gone.
-  void Release(const std::string& entry) { m_promises.erase(entry); }
+  // Called when the entry has used its reservation, or is disconnected.
+  void Release(const std::string& entry) { m_reservations.erase(entry); }
 
-  // What is promised to others than `entry`.
+  // Returns what is reserved for entries other than `entry`.
   TaskNeeds ReservedForOthers(const std::string& entry, MonoTime now) const;
 
-  // When the next promise lapses; infinite: there is none.
+  // Returns when the next reservation expires; infinite if there is none.
   MonoTime NextExpiry(MonoTime now) const;
 
  private:
-  struct Promise {
+  struct Reservation {
     TaskNeeds needs;
     MonoTime until = absl::ZeroDuration();
   };
 
-  std::map<std::string, Promise> m_promises;
+  std::map<std::string, Reservation> m_reservations;
 };
 
 }  // namespace egretswitch::internal
--- a/src/clock.h
+++ b/src/clock.h
@@ -1,7 +1,8 @@
-// The two clocks of a process, read by its shell and passed to the decisions.
+// The two clocks of a process. The I/O code around a state machine reads them
+// and passes them in.
 //
-// Decisions never read a clock themselves: every call receives a `Now`, so a
-// test can run minutes of behaviour in virtual time.
+// State machines never read a clock themselves: every call receives a `Now`, so
+// a test can run minutes of behaviour in virtual time.
 //
 //   node.Handle(event, Now{.mono = absl::Seconds(12), .wall_ms =
 //   1700000012000});
--- a/src/evacuations.cc
+++ b/src/evacuations.cc
@@ -1,5 +1,5 @@
-// A read may be older than what is held: a neighbour that was ahead has told of
-// its state while the read was under way.
+// A read may be older than the current state, if a peer sent a newer state
+// while the read was in progress.
 #include "evacuations.h"
 
 #include <algorithm>
@@ -26,26 +26,26 @@
   return only;
 }
 
-Evacuations ApplyRead(const Evacuations& held, const EvacuationsRead& read) {
-  if (read.through < held.through) {
-    return held;
+Evacuations ApplyRead(const Evacuations& current, const EvacuationsRead& read) {
+  if (read.through < current.through) {
+    return current;
   }
-  std::set<std::string> covered;
+  std::set<std::string> evacuated;
   if (!read.whole) {
-    covered.insert(held.data_centres.begin(), held.data_centres.end());
+    evacuated.insert(current.data_centres.begin(), current.data_centres.end());
   }
   for (const EvacuationRecord& record : read.records) {
-    const bool counted = !read.whole && record.version <= held.through;
-    if (counted) {
+    const bool applied = !read.whole && record.version <= current.through;
+    if (applied) {
       continue;
     }
     if (record.evacuated) {
-      covered.insert(record.data_centre);
+      evacuated.insert(record.data_centre);
     } else {
-      covered.erase(record.data_centre);
+      evacuated.erase(record.data_centre);
     }
   }
-  return {read.through, {covered.begin(), covered.end()}};
+  return {read.through, {evacuated.begin(), evacuated.end()}};
 }
 
 }  // namespace egretswitch::internal
--- a/src/evacuations.h
+++ b/src/evacuations.h
@@ -1,13 +1,13 @@
-// Which data centres the operators have evacuated: workers there get nothing
-// new until the data centre is taken back.
+// The data centres that the operators have evacuated. Workers there get no new
+// tasks until the data centre is taken back into service.
 //
-//   Evacuations held{.through = 12, .data_centres = {"south"}};
-//   held.Covers("south")                                      -> true
-//   IsNewer({.through = 9, .data_centres = {}}, held)         -> false
+//   Evacuations current{.through = 12, .data_centres = {"south"}};
+//   current.Covers("south")                                   -> true
+//   IsNewer({.through = 9, .data_centres = {}}, current)      -> false
 //
-// This is the state of the operators' table as of one offset, so of two states
-// the one that was read further is right as a whole: an old one, from whomever,
-// never undoes a newer one.
+// The state is that of the operators' table as of one offset. Of two states,
+// the one with the higher offset replaces the other as a whole, whichever
+// process sent it, so an old state never undoes a newer one.
 #ifndef EGRETSWITCH_SRC_EVACUATIONS_H_
 #define EGRETSWITCH_SRC_EVACUATIONS_H_
 
@@ -21,8 +21,8 @@
 namespace egretswitch::internal {
 
 struct Evacuations {
-  // All records of the table before this offset are counted; 0: nothing is
-  // known yet.
+  // All records of the table before this offset are applied; 0 before the first
+  // read.
   uint64_t through = 0;
   std::vector<std::string> data_centres;  // sorted
   bool operator==(const Evacuations&) const = default;
@@ -34,29 +34,29 @@
 
 bool IsNewer(const Evacuations& state, const Evacuations& than);
 
-// In `state` and not in `other`.
+// Returns the data centres that are in `state` and not in `other`.
 std::vector<std::string> OnlyIn(const Evacuations& state,
                                 const Evacuations& other);
 
 // One record of the table.
 struct EvacuationRecord {
   std::string data_centre;
-  bool evacuated = false;  // false: taken back
+  bool evacuated = false;  // false: taken back into service
   uint64_t version = 0;    // its offset, plus 1
 };
 
-// A read of the table.
+// The result of reading the table.
 struct EvacuationsRead {
   std::vector<EvacuationRecord> records;  // by version
   uint64_t through = 0;
-  // All that is evacuated is among the records; otherwise they only change what
-  // was known.
+  // Whether the records are a complete snapshot of the evacuated data centres;
+  // otherwise they are changes to the previous state.
   bool whole = false;
 };
 
-// What is known after the read. What was evacuated stays so until its taking
-// back is read: by its own record, or by its absence from a whole read.
-Evacuations ApplyRead(const Evacuations& held, const EvacuationsRead& read);
+// Returns the state after applying the read. A data centre stays evacuated
+// until a record takes it back, or a complete snapshot does not list it.
+Evacuations ApplyRead(const Evacuations& current, const EvacuationsRead& read);
 
 }  // namespace egretswitch::internal
 
--- a/src/link_selection.cc
+++ b/src/link_selection.cc
@@ -1,7 +1,7 @@
 // Agents are taken in the order of a hash of their names under a seed of the
 // entry's own (rendezvous hashing), so that entries spread over them, and few
-// links change when an agent comes or goes. Those that can't be used are kept
-// but not counted: others take their place until they are back.
+// links change when an agent joins or leaves. Unusable agents stay selected but
+// are not counted: others take their place until they are usable again.
 #include "link_selection.h"
 
 #include <xxhash.h>
@@ -16,45 +16,46 @@
 namespace egretswitch::internal {
 namespace {
 
-// Agents linked for each one in reach: the reach can double at once, and the
-// next links are up before it does so again.
-constexpr uint32_t kLinksForReach = 2;
+// Linked agents for each worker in the subset. The subset can double at once,
+// and the next links are up before it doubles again.
+constexpr uint32_t kLinksPerWorker = 2;
 
-// Links that a burst has opened are kept for so long after it.
-constexpr absl::Duration kKeepIdleLinks = absl::Seconds(5);
+// How long the links that a burst has opened stay open after it.
+constexpr absl::Duration kIdleLinkRetention = absl::Seconds(5);
 
-// Of the agents that are dialled so many times more than are wanted at most,
-// when some of them can't be used: with half of the workers gone the others do.
-constexpr uint32_t kMostDialled = 3;
+// At most so many times the quota is dialled when some agents are unusable.
+// This suffices when half of the workers are lost.
+constexpr uint32_t kMaxDialFactor = 3;
 
 // A worker announces itself to the agent beside it each 1.5 s, and at once when
-// it starts. Until then an agent that has started counts as one to be used.
-constexpr absl::Duration kMeetPatience = absl::Seconds(2);
+// it starts. Until then an agent that has started counts as usable.
+constexpr absl::Duration kFirstAnnouncementTimeout = absl::Seconds(2);
 
-// What is left of a service's quota.
-struct Left {
+// The remainder of a service's quota.
+struct Remaining {
   uint32_t usable = 0;
   uint32_t dialled = 0;
   bool Any() const { return usable > 0 && dialled > 0; }
 };
 
-Left LeftOf(uint32_t quota) {
-  return {quota, kMostDialled * quota};
+Remaining RemainingOf(uint32_t quota) {
+  return {quota, kMaxDialFactor * quota};
 }
 
-// An agent without a link after this time has its place taken by another one: a
-// dial takes some milliseconds, while a process that was killed is back within
+// An agent that is not linked after this time is replaced by another one: a
+// dial takes some milliseconds, while a process that was killed restarts within
 // a second.
-constexpr absl::Duration kDialPatience = absl::Milliseconds(300);
+constexpr absl::Duration kDialTimeout = absl::Milliseconds(300);
 
-// Each entry chooses so many others and is chosen by as many in the mean: news
-// reach a thousand entries in three steps, and with half of them gone the rest
-// are still in one piece.
-constexpr size_t kNeighbours = 12;
+// Each entry chooses this many peers, and is chosen by as many on average.
+// Updates then reach a thousand entries in three steps, and with half of the
+// entries terminated the others are still connected to each other.
+constexpr size_t kPeersPerEntry = 12;
 
-// The others that come first in the order of a hash under the entry's own name.
-std::vector<std::string> Neighbours(const std::string& entry,
-                                    const std::vector<std::string>& all) {
+// Returns the first of the other entries, ordered by a hash under the name of
+// this one.
+std::vector<std::string> PeersOf(const std::string& entry,
+                                 const std::vector<std::string>& all) {
   const uint64_t seed = XXH64(entry.data(), entry.size(), 0);
   std::vector<std::pair<uint64_t, std::string>> order;
   for (const std::string& other : all) {
@@ -62,7 +63,7 @@
       order.emplace_back(RendezvousHash(other, seed), other);
     }
   }
-  const size_t count = std::min(kNeighbours, order.size());
+  const size_t count = std::min(kPeersPerEntry, order.size());
   std::partial_sort(order.begin(),
                     order.begin() + static_cast<ptrdiff_t>(count), order.end());
   std::vector<std::string> first;
@@ -94,9 +95,9 @@
     Agent agent{.address = {name, member.address, ProcessRole::kAgent},
                 .service = member.worker.service,
                 .rendezvous_hash = RendezvousHash(name, m_seed)};
-    if (const auto known = dialled_since.find(name);
-        known != dialled_since.end()) {
-      agent.dialled_since = known->second;
+    if (const auto former = dialled_since.find(name);
+        former != dialled_since.end()) {
+      agent.dialled_since = former->second;
     }
     m_services.insert(agent.service);
     m_addresses[name] = member.address;
@@ -112,32 +113,32 @@
 
 void LinkSelection::SetEntries(std::map<std::string, PeerAddress> entries) {
   entries.erase(m_self);
-  if (entries == m_known_entries) {
+  if (entries == m_other_entries) {
     return;
   }
-  m_known_entries = std::move(entries);
+  m_other_entries = std::move(entries);
   std::vector<std::string> names;
-  for (const auto& [name, address] : m_known_entries) {
+  for (const auto& [name, address] : m_other_entries) {
     names.push_back(name);
   }
   m_entries.clear();
   for (const std::string& name : EntriesToDial(m_self, names)) {
-    m_entries.push_back(m_known_entries.at(name));
+    m_entries.push_back(m_other_entries.at(name));
   }
 }
 
-// While the work in hand wants more room than is linked, the links double.
+// The quota doubles while the open work needs more capacity than is linked.
 uint32_t LinkSelection::QuotaOf(const std::string& service,
-                                const WorkerPool::Subset& reach,
+                                const WorkerPool::Subset& subset,
                                 MonoTime now) {
   Quota& quota = m_quotas[service];
   const auto all = static_cast<uint32_t>(m_agents.size());
-  uint32_t wanted = std::max(kMinAgents, kLinksForReach * reach.workers);
-  if (!reach.enough) {
-    wanted = std::max(wanted, std::min(2 * quota.agents, all));
+  uint32_t agents = std::max(kMinAgents, kLinksPerWorker * subset.workers);
+  if (!subset.sufficient) {
+    agents = std::max(agents, std::min(2 * quota.agents, all));
   }
-  if (wanted >= quota.agents || now >= quota.lapses_at) {
-    quota = {wanted, now + kKeepIdleLinks};
+  if (agents >= quota.agents || now >= quota.lapses_at) {
+    quota = {agents, now + kIdleLinkRetention};
   }
   return quota.agents;
 }
@@ -147,12 +148,13 @@
                                  MonoTime now) const {
   if (worker != nullptr && worker->linked) {
     agent.dialled_since = absl::InfiniteDuration();
-    const bool about_to_meet =
-        worker->status.worker.empty() && now - worker->replaced_at < kMeetPatience;
-    return about_to_meet || worker->Usable(now);
+    const bool awaits_announcement =
+        worker->status.worker.empty() &&
+        now - worker->replaced_at < kFirstAnnouncementTimeout;
+    return awaits_announcement || worker->Usable(now);
   }
   agent.dialled_since = std::min(agent.dialled_since, now);
-  return now - agent.dialled_since < kDialPatience;
+  return now - agent.dialled_since < kDialTimeout;
 }
 
 std::vector<PeerAddress> LinkSelection::Choose(const WorkerPool& pool,
@@ -161,25 +163,26 @@
   for (const std::string& service : m_services) {
     subsets.try_emplace(service);
   }
-  std::map<std::string, Left> left;
-  for (const auto& [service, reach] : subsets) {
-    left[service] = LeftOf(QuotaOf(service, reach, now));
+  std::map<std::string, Remaining> remaining;
+  for (const auto& [service, subset] : subsets) {
+    remaining[service] = RemainingOf(QuotaOf(service, subset, now));
   }
   std::vector<PeerAddress> chosen = m_entries;
   std::set<std::string_view> chosen_agents;
   for (Agent& agent : m_agents) {
-    const bool any_left =
-        std::any_of(left.begin(), left.end(),
+    const bool any_remaining =
+        std::any_of(remaining.begin(), remaining.end(),
                     [](const auto& entry) { return entry.second.Any(); });
-    if (!any_left) {
+    if (!any_remaining) {
       break;
     }
     const PooledWorker* worker = pool.Find(agent.address.name);
-    const bool has_told = worker != nullptr && !worker->status.service.empty();
+    const bool has_reported =
+        worker != nullptr && !worker->status.service.empty();
     const std::string& service =
-        has_told ? worker->status.service : agent.service;
-    Left& of_service =
-        left.try_emplace(service, LeftOf(kMinAgents)).first->second;
+        has_reported ? worker->status.service : agent.service;
+    Remaining& of_service =
+        remaining.try_emplace(service, RemainingOf(kMinAgents)).first->second;
     if (!of_service.Any()) {
       agent.dialled_since = absl::InfiniteDuration();
       continue;
@@ -189,12 +192,12 @@
     chosen.push_back(agent.address);
     chosen_agents.insert(agent.address.name);
   }
-  AddThoseWithRuns(pool, chosen_agents, chosen);
+  AddAgentsWithRuns(pool, chosen_agents, chosen);
   return chosen;
 }
 
-// Without the link the runs would be stopped.
-void LinkSelection::AddThoseWithRuns(
+// Without the link, no renewals would arrive and the runs would be stopped.
+void LinkSelection::AddAgentsWithRuns(
     const WorkerPool& pool,
     const std::set<std::string_view>& chosen_agents,
     std::vector<PeerAddress>& chosen) const {
@@ -213,8 +216,8 @@
   std::vector<std::string> all = others;
   all.push_back(self);
   std::vector<std::string> dialled;
-  for (const std::string& other : Neighbours(self, all)) {
-    const std::vector<std::string> of_other = Neighbours(other, all);
+  for (const std::string& other : PeersOf(self, all)) {
+    const std::vector<std::string> of_other = PeersOf(other, all);
     const bool both_ways =
         std::find(of_other.begin(), of_other.end(), self) != of_other.end();
     if (!both_ways || self < other) {
--- a/src/lost_runs.cc
+++ b/src/lost_runs.cc
@@ -5,16 +5,18 @@
 namespace egretswitch::internal {
 namespace {
 
-// Workers that crash alone under a task; one may be an accident.
-constexpr size_t kCrashesOfTask = 2;
+// Workers that crashed alone under a task, at which the task is blamed. A
+// single such crash may be an accident.
+constexpr size_t kMaxCrashesAlone = 2;
 
-// Beside the losses of others, too.
-constexpr size_t kMostCrashes = 3;
+// Crashes at which the task is blamed even if other workers were lost with
+// them.
+constexpr size_t kMaxCrashes = 3;
 
-// Runs of one task that are lost at one entry, of those that had begun and of
-// those of which nobody knows: a task that crashes its worker before the start
-// is answered can't be told from a start that reached nobody.
-constexpr size_t kMostLosses = 3;
+// Lost runs of one task at one entry, counted apart for runs that had begun and
+// for unconfirmed ones: a task that crashes its worker before the start is
+// answered can't be distinguished from a start that never arrived.
+constexpr size_t kMaxLosses = 3;
 
 bool CrashedAlone(const LostRun& run,
                   const std::set<std::string>& own,
@@ -25,9 +27,9 @@
 
 }  // namespace
 
-// The losses of other workers at about the same time, with other tasks, speak
-// for the task. It is asked for anew with each loss: which other workers were
-// lost beside an earlier one is known only later.
+// Losses of other workers with other tasks at about the same time are evidence
+// that the task is not the cause. All runs are judged anew at each loss, since
+// losses beside an earlier one may be reported only later.
 LossVerdict JudgeLostRuns(absl::Span<const LostRun> lost,
                           const WorkerLosses& losses) {
   const std::set<std::string> own = AgentsOf(lost);
@@ -41,11 +43,11 @@
       alone.push_back(run);
     }
   }
-  if (AgentsOf(alone).size() >= kCrashesOfTask || crashes >= kMostCrashes) {
+  if (AgentsOf(alone).size() >= kMaxCrashesAlone || crashes >= kMaxCrashes) {
     return LossVerdict::kCrashesWorkers;
   }
   const size_t begun = lost.size() - unconfirmed;
-  return std::max(begun, unconfirmed) >= kMostLosses
+  return std::max(begun, unconfirmed) >= kMaxLosses
              ? LossVerdict::kTooManyLosses
              : LossVerdict::kTryAgain;
 }
@@ -62,7 +64,7 @@
       alone = alone || CrashedAlone(run, own, losses);
     }
   }
-  return alone || crashes + 1 >= kMostCrashes ? longest : 0;
+  return alone || crashes + 1 >= kMaxCrashes ? longest : 0;
 }
 
 std::set<std::string> AgentsOf(absl::Span<const LostRun> lost) {
--- a/src/lost_runs.h
+++ b/src/lost_runs.h
@@ -1,10 +1,10 @@
-// What the losses of a task's runs say of the task.
+// Judges from the lost runs of a task whether the task crashes its workers.
 //
 //   JudgeLostRuns({{"agent-1", at, RunLoss::kWorkerCrashed}}, losses)
 //       -> kTryAgain
 //
-// A task may crash each worker that starts it, and has to be given up then. A
-// rack without power or a worker that is cut off says nothing of the task.
+// A task that crashes each worker that starts it has to be failed. Losses by a
+// rack without power or a disconnected worker are no evidence against a task.
 #ifndef EGRETSWITCH_SRC_LOST_RUNS_H_
 #define EGRETSWITCH_SRC_LOST_RUNS_H_
 
@@ -25,20 +25,21 @@
   std::string agent;
   MonoTime reported_at = absl::ZeroDuration();
   RunLoss loss = RunLoss::kMayHaveBegun;
-  uint32_t run_ms = 0;  // until its end was noticed
+  uint32_t run_ms = 0;  // until the loss was detected
 };
 
 enum class LossVerdict : uint8_t {
   kTryAgain = 0,
   kCrashesWorkers,  // the task's fault
-  kTooManyLosses,   // nobody's fault that is known; not worth another worker
+  kTooManyLosses,  // of unknown cause; the task is not risked on another worker
 };
 
 LossVerdict JudgeLostRuns(absl::Span<const LostRun> lost,
                           const WorkerLosses& losses);
 
-// How long after its start the task may crash its worker, as far as its losses
-// tell; 0: neither a worker crashed alone under it, nor two beside others.
+// Returns how long after its start the task may crash its worker, by its lost
+// runs so far. Returns 0 unless a worker crashed alone under the task, or two
+// crashed beside workers with other tasks.
 uint32_t SuspectMs(absl::Span<const LostRun> lost, const WorkerLosses& losses);
 
 std::set<std::string> AgentsOf(absl::Span<const LostRun> lost);
--- a/src/recent_ends.cc
+++ b/src/recent_ends.cc
@@ -1,4 +1,5 @@
-// Looked through only when a link comes up anew, so the search is linear.
+// Searched only when an agent and an entry reconnect, so a linear search is
+// enough.
 #include "recent_ends.h"
 
 #include <algorithm>
@@ -8,8 +9,8 @@
 namespace egretswitch::internal {
 
 void RecentEnds::Record(const RunReport& report, MonoTime now) {
-  while (!m_ends.empty() &&
-         (m_ends.size() >= kMost || now - m_ends.front().at > kReportedEndRetention)) {
+  while (!m_ends.empty() && (m_ends.size() >= kMaxEnds ||
+                             now - m_ends.front().at > kReportedEndRetention)) {
     m_ends.pop_front();
   }
   m_ends.push_back({report, now});
--- a/src/recent_ends.h
+++ b/src/recent_ends.h
@@ -1,7 +1,7 @@
-// The ends of runs that an agent has reported lately. A report that was lost
-// with its link is told again from here.
+// The ends of runs that an agent has reported recently, from which it repeats a
+// report that was lost with its link.
 //
-//   ends.Note({.task = 5c0e/0/0, .run = 1, .end = RunEnd::kDone}, now);
+//   ends.Record({.task = 5c0e/0/0, .run = 1, .end = RunEnd::kDone}, now);
 //   ends.Find({5c0e/0/0, 1, 0})   -> that report
 #ifndef EGRETSWITCH_SRC_RECENT_ENDS_H_
 #define EGRETSWITCH_SRC_RECENT_ENDS_H_
@@ -16,10 +16,10 @@
 
 class RecentEnds {
  public:
-  static constexpr size_t kMost = 4096;
+  static constexpr size_t kMaxEnds = 4096;
 
   void Record(const RunReport& report, MonoTime now);
-  // Null: it is not known, or no longer.
+  // Returns null if the end is not on record, or no longer.
   const RunReport* Find(const OrderedRun& ordered) const;
 
  private:
@@ -27,7 +27,7 @@
     RunReport report;
     MonoTime at = absl::ZeroDuration();
   };
-  std::deque<End> m_ends;  // by age
+  std::deque<End> m_ends;  // the oldest first
 };
 
 }  // namespace egretswitch::internal
--- a/src/remote_clock.cc
+++ b/src/remote_clock.cc
@@ -1,5 +1,5 @@
-// Two steady clocks drift apart. The offset kept is lowered by kDrift of the
-// time since it was observed, so that it stays a lower bound when the peer's
+// Two steady clocks drift apart. The estimate is lowered by kDrift of the time
+// since the offset was observed, so that it stays a lower bound if the peer's
 // clock is the slower one:
 //
 //   observed 5 s ago, kDrift 0.1%  ->  the estimate is 5 ms lower
@@ -10,17 +10,19 @@
 namespace egretswitch::internal {
 namespace {
 
-// Steady clocks of hosts differ by some 100 ppm at most; ten times that.
+// Ten times the difference between the steady clocks of two hosts, which is
+// some 100 ppm at most.
 constexpr double kDrift = 0.001;
 
 }  // namespace
 
 void RemoteClock::Observe(int64_t peer_ms, MonoTime now) {
-  const int64_t fresh = peer_ms - absl::ToInt64Milliseconds(now);
-  const std::optional<int64_t> kept = Estimate(now);
-  const int64_t aged =
-      kept.has_value() ? *kept - absl::ToInt64Milliseconds(now) : fresh;
-  m_offset_ms = std::max(fresh, aged);
+  const int64_t observed = peer_ms - absl::ToInt64Milliseconds(now);
+  const std::optional<int64_t> estimate = Estimate(now);
+  const int64_t aged = estimate.has_value()
+                           ? *estimate - absl::ToInt64Milliseconds(now)
+                           : observed;
+  m_offset_ms = std::max(observed, aged);
   m_observed_at = now;
 }
 
@@ -29,7 +31,7 @@
     return std::nullopt;
   }
   const absl::Duration drift = kDrift * (now - m_observed_at);
-  // Both clocks read whole milliseconds: one more for the rounding.
+  // The drift is rounded up, since both clocks are read in whole milliseconds.
   return absl::ToInt64Milliseconds(now) + *m_offset_ms -
          absl::ToInt64Milliseconds(absl::Ceil(drift, absl::Milliseconds(1)));
 }
--- a/src/remote_clock.h
+++ b/src/remote_clock.h
@@ -1,12 +1,12 @@
-// An estimate of a peer's steady clock that is never ahead of it, from the
-// readings that come with the peer's messages.
+// Estimates a peer's steady clock from the readings in the peer's messages. The
+// estimate is never ahead of the clock.
 //
-//   clock.Observe(peer_ms = 5000, now = 100 ms);   // under way for 2 ms
-//   clock.Estimate(now = 160 ms)  -> 5060           // the truth: 5062
+//   clock.Observe(peer_ms = 5000, now = 100 ms);   // in flight for 2 ms
+//   clock.Estimate(now = 160 ms)  -> 5060          // the peer's clock: 5062
 //
-// A message's delay makes the estimate too low, never too high, so the least
-// delayed reading counts. A stamp made of it is therefore at least as old as
-// what carries it: the peer judges the age of a message by its own clock alone.
+// A message's delay makes the estimate too low, never too high, so the reading
+// with the least delay is used. A message stamped with the estimate is never
+// older than its stamp says, so the peer can limit its age by its own clock.
 #ifndef EGRETSWITCH_SRC_REMOTE_CLOCK_H_
 #define EGRETSWITCH_SRC_REMOTE_CLOCK_H_
 
@@ -21,11 +21,11 @@
  public:
   void Observe(int64_t peer_ms, MonoTime now);
 
-  // Nullopt before the first reading.
+  // Returns nullopt before the first reading.
   std::optional<int64_t> Estimate(MonoTime now) const;
 
  private:
-  std::optional<int64_t> m_offset_ms;  // peer's clock less ours
+  std::optional<int64_t> m_offset_ms;  // the peer's clock minus ours
   MonoTime m_observed_at = absl::ZeroDuration();
 };
 
--- a/src/run_ends.h
+++ b/src/run_ends.h
@@ -1,5 +1,5 @@
-// How a run ended, in the words of each side: the worker's ends and refusals as
-// the RunEnd that an entry is told, and the counter of each RunEnd.
+// Maps a worker's run ends and refusals to the RunEnd that its entry is sent,
+// and each RunEnd to its counter.
 //
 //   EndOfRefusal(CallVerdict::kFenced)  -> RunEnd::kStale
 //   EndOfWorkerRun(WorkerRunEnd::kLapsed) -> RunEnd::kStopped
@@ -16,7 +16,7 @@
 
 RunEnd EndOfWorkerRun(WorkerRunEnd end);
 
-// For the answer to a start that was turned away; the run never started.
+// Maps the refusal of a start, whose run never started.
 RunEnd EndOfRefusal(CallVerdict verdict);
 
 RunCounter CounterOf(RunEnd end);
--- a/src/run_limits.h
+++ b/src/run_limits.h
@@ -1,17 +1,17 @@
-// The times that the run protocol between entries, agents and workers rests on.
+// Time limits of the run protocol between entries, agents and workers.
 //
 // A caller without an answer sends its job again kResendAfter later, to any
-// entry, and that one may start every task anew. No run of the former attempt
-// may be left by then, whatever has failed. Each link of the chain is bounded
-// by the clock of the process that acts:
+// entry, which may then start every task anew. No run of the previous attempt
+// may be left by then, whatever has failed. Each process enforces its part by
+// its own clock:
 //
-//   entry    ends with the attempt: sends no start and no renewal any more;
-//            when it was paused, it treats its attempts as ended
+//   entry    sends no start and no renewal after the attempt has ended; after a
+//            pause it treats all its attempts as ended
 //   agent    stops a run kRunLease after the last renewal was sent
-//   worker   ends everything kWorkerLease after the agent's last call
+//   worker   ends all runs kWorkerLease after the agent's last call
 //
-// The agent may end just before it would have stopped a run, so both bounds add
-// up in the worst case:
+// The agent may terminate just before it would have stopped a run, so in the
+// worst case both limits add up:
 //
 //   kRunLease + kWorkerLease / 0.98 + the worker's stop < kResendAfter
 //   550 ms        + 561 ms              + 50 ms             < 1300 ms
@@ -25,70 +25,72 @@
 // The shortest time after which a caller sends a job again.
 inline constexpr absl::Duration kResendAfter = absl::Milliseconds(1300);
 
-// How long a run goes on without a word of the entry that answers for it.
+// How long a run goes on without a renewal from its entry.
 inline constexpr absl::Duration kRunLease = absl::Milliseconds(550);
 
-// Two renewals may be lost or late before kRunLease ends a run.
+// Between renewals: two may be lost or late before kRunLease ends a run.
 inline constexpr absl::Duration kRenewPeriod = absl::Milliseconds(150);
 
-// An order to start that was under way for longer is not carried out: what it
-// belongs to may have ended. Far above the delay of a busy network.
+// An agent ignores a start message older than this, since its attempt may have
+// ended. Far above the delay of a busy network.
 inline constexpr absl::Duration kMaxStartAge = absl::Milliseconds(300);
 
-// An entry that did not run for this long does not know what was decided
-// meanwhile. Below kRunLease, above a busy machine's pauses.
+// An entry that was paused for longer treats its attempts as ended, since it
+// has missed what was decided meanwhile. Below kRunLease, above the pauses of a
+// busy machine.
 inline constexpr absl::Duration kMaxEntryPause = absl::Milliseconds(500);
 
-// The lease that the agent asks for everything on its worker. The platform
+// The lease that the agent requests for all runs on its worker. The platform
 // grants up to 1 s; the sum above allows less. The worker's clock may be 2%
 // slow.
 inline constexpr absl::Duration kWorkerLease = absl::Milliseconds(550);
 
-// A look at the worker waits this long for an end of a run, then renews the
-// lease: one look may fail within kWorkerLease.
+// A poll of the worker waits this long for a run to end, and the next one
+// renews the lease: one poll may fail within kWorkerLease.
 inline constexpr absl::Duration kPollWait = absl::Milliseconds(200);
 
-// Without an answer for this long a second look goes beside the long one, so
-// that a single lost answer does not end what runs.
+// If a poll has no answer for this long, a second one is sent beside it, so
+// that a single lost answer does not end the runs.
 inline constexpr absl::Duration kSecondPollDelay = absl::Milliseconds(250);
 
-// Beyond the wait asked for, after which a call to the worker beside the agent
-// counts as unanswered. Such a call takes about 1 ms.
+// A call to the worker counts as unanswered this long after the wait that it
+// requested. Such a call takes about 1 ms.
 inline constexpr absl::Duration kWorkerCallTimeout = absl::Milliseconds(150);
 
-// Without an answer for this long a worker gets no new work.
+// A worker that has not answered for this long gets no new tasks.
 inline constexpr absl::Duration kWorkerTimeout = absl::Milliseconds(600);
 
 // Between two calls for the same start while none is answered: far above the
-// 1 ms that a call takes, so that a calm day repeats none, and a small part of
-// the shortest latency objective (150 ms).
+// 1 ms that a call takes, so that no call is repeated in normal operation, and
+// a small part of the shortest latency objective (150 ms).
 inline constexpr absl::Duration kStartRetry = absl::Milliseconds(40);
-// Of one start. With a third of the calls lost, one start in a hundred is left
-// to the look and the stop that follow.
+// Calls for one start. With a third of the calls lost, one start in a hundred
+// remains unconfirmed and is resolved by the poll and the stop that follow.
 inline constexpr uint32_t kMaxStartCalls = 4;
 
 // Between two attempts of a stop that has not been answered.
 inline constexpr absl::Duration kStopRetry = absl::Milliseconds(50);
 
-// An agent that leaves a renewal unanswered for this long gets no new work and
-// no further renewal; two answers may be lost or late before.
+// An agent that leaves a renewal unanswered for this long gets no new tasks and
+// no further renewals; two answers may be lost or late before.
 inline constexpr absl::Duration kAgentSuspectAfter = absl::Milliseconds(400);
 
-// A link on which a renewal stays unanswered for this long is dialled anew,
-// beside the old one. The new link must be up before kRunLease ends the
-// runs, counted from the last renewal that arrived, up to kRenewPeriod earlier.
+// If a renewal stays unanswered for this long, its agent is dialled again
+// beside the existing link. The new link must be up before kRunLease ends the
+// runs; that lease counts from the last renewal that arrived, up to
+// kRenewPeriod earlier.
 inline constexpr absl::Duration kLinkRedialAfter = absl::Milliseconds(250);
 
-// Between two such dials to one agent: a process that is frozen accepts
-// connections and answers none of them.
+// Between two such dials to one agent: a frozen process accepts connections and
+// answers none of them.
 inline constexpr absl::Duration kLinkRedialInterval = absl::Seconds(1);
 
-// How long an agent remembers the end of a run, in case its report was lost.
-// Far above the time until a silent link is replaced.
+// How long an agent retains the end of a run, in case its report was lost. Far
+// above the time until an unresponsive link is replaced.
 inline constexpr absl::Duration kReportedEndRetention = absl::Seconds(5);
 
-// A run has certainly ended this long after the entry last sent its agent
-// anything: the sum above, and 50 ms for a busy machine.
+// A run has certainly ended this long after its entry last sent the agent any
+// message: the sum above, plus 50 ms for a busy machine.
 inline constexpr absl::Duration kRunCertainlyOver = absl::Milliseconds(1210);
 
 }  // namespace egretswitch::internal
--- a/src/run_renewals.h
+++ b/src/run_renewals.h
@@ -1,5 +1,5 @@
-// Which agents an entry sends a renewal, and when: those that hold runs of it,
-// and, while its jobs wait, those that may have room for them.
+// Decides when an entry sends a renewal to which agents: those that hold its
+// runs, and, while its jobs wait, those that may have free capacity.
 //
 //   renewals.TakeDue(pool, {}, now)                    -> [{agent-3, {}}]
 //   renewals.TakeDue(pool, {{"desk", {{0, {6200, 64, 0}, 12}}}}, now)
@@ -21,19 +21,19 @@
 
 class RunRenewals {
  public:
-  // Agents in reach that are asked for room at one call, one for each task that
-  // waits: a thousand agents are asked one after the other, not at once.
+  // Agents of the subset that get a capacity request at one call, at most one
+  // for each waiting task, so that a thousand agents are not asked at once.
   static constexpr uint32_t kMaxSubsetRequests = 16;
-  // And of the others, since room may be where this entry does not look.
+  // Agents outside the subset that get one, since capacity may be free there.
   static constexpr uint32_t kMaxOutsideRequests = 2;
 
   struct Due {
     PooledWorker* worker = nullptr;
-    std::vector<CapacityRequest> wanted;  // the agent is to tell when it has room
+    std::vector<CapacityRequest> wanted;  // empty for a mere renewal
   };
 
-  // Marks each agent that it names as asked now.
-  // `waiting` is what waits for each service.
+  // Returns the renewals that are due, and records them as sent. `waiting`
+  // holds the waiting tasks of each service.
   std::vector<Due> TakeDue(
       WorkerPool& pool,
       const std::map<std::string, std::vector<CapacityRequest>>& waiting,
@@ -42,19 +42,20 @@
  private:
   using Waiting = std::map<std::string, std::vector<CapacityRequest>>;
 
-  std::set<std::string> Askable(const WorkerPool& pool,
-                                const Waiting& waiting,
-                                MonoTime now);
-  static std::set<std::string> AskableAfter(std::string& last_asked,
-                                            const WorkerPool& pool,
-                                            bool in_subset,
-                                            uint32_t most,
-                                            const Waiting& waiting,
-                                            MonoTime now);
-
-  // The next question goes to the one after: in reach, and of the others.
-  std::string m_last_asked;
-  std::string m_last_other;
+  std::set<std::string> AgentsToAsk(const WorkerPool& pool,
+                                    const Waiting& waiting,
+                                    MonoTime now);
+  static std::set<std::string> TakeAgentsToAsk(std::string& last_asked,
+                                               const WorkerPool& pool,
+                                               bool in_subset,
+                                               uint32_t limit,
+                                               const Waiting& waiting,
+                                               MonoTime now);
+
+  // The agents that got the last capacity request, inside and outside the
+  // subset. The next one goes to the agent after it.
+  std::string m_last_in_subset;
+  std::string m_last_outside;
 };
 
 }  // namespace egretswitch::internal
--- a/src/task_needs.h
+++ b/src/task_needs.h
@@ -1,6 +1,6 @@
-// Arithmetic on what tasks need and workers have.
+// Arithmetic on the resources that tasks need and workers have.
 //
-//   Fits({6200, 64, 0}, room)   Subtract(room, Times({6200, 64, 0}, 4))
+//   Fits({6200, 64, 0}, free)   Subtract(free, Times({6200, 64, 0}, 4))
 #ifndef EGRETSWITCH_SRC_TASK_NEEDS_H_
 #define EGRETSWITCH_SRC_TASK_NEEDS_H_
 
@@ -11,10 +11,10 @@
 
 namespace egretswitch::internal {
 
-inline bool Fits(const TaskNeeds& needs, const TaskNeeds& room) {
-  return needs.millicores <= room.millicores &&
-         needs.memory_mb <= room.memory_mb &&
-         needs.accelerators <= room.accelerators;
+inline bool Fits(const TaskNeeds& needs, const TaskNeeds& free) {
+  return needs.millicores <= free.millicores &&
+         needs.memory_mb <= free.memory_mb &&
+         needs.accelerators <= free.accelerators;
 }
 
 inline bool IsZero(const TaskNeeds& needs) {
@@ -27,18 +27,18 @@
           needs.accelerators * count};
 }
 
-// What holds either of them.
+// Returns the smallest resources that either of them fits in.
 inline TaskNeeds ElementwiseMax(const TaskNeeds& left, const TaskNeeds& right) {
   return {std::max(left.millicores, right.millicores),
           std::max(left.memory_mb, right.memory_mb),
           std::max(left.accelerators, right.accelerators)};
 }
 
-// Never below nothing: another process may have taken more than is there.
-inline void Subtract(TaskNeeds& room, const TaskNeeds& taken) {
-  room.millicores -= std::min(room.millicores, taken.millicores);
-  room.memory_mb -= std::min(room.memory_mb, taken.memory_mb);
-  room.accelerators -= std::min(room.accelerators, taken.accelerators);
+// Stops at zero, since other processes may have taken more than is free.
+inline void Subtract(TaskNeeds& free, const TaskNeeds& taken) {
+  free.millicores -= std::min(free.millicores, taken.millicores);
+  free.memory_mb -= std::min(free.memory_mb, taken.memory_mb);
+  free.accelerators -= std::min(free.accelerators, taken.accelerators);
 }
 
 }  // namespace egretswitch::internal
--- a/src/worker_losses.h
+++ b/src/worker_losses.h
@@ -1,10 +1,10 @@
-// Which workers an entry has heard to be lost of late.
+// Recent losses of workers, as reported to an entry.
 //
-//   losses.Note("agent-3", now);
+//   losses.Record("agent-3", now);
 //   losses.LostAround(now, {"agent-1"})  -> 1
 //
-// Workers that are lost within a moment share a cause, such as a rack without
-// power. When their agents notice differs by some hundred milliseconds.
+// Workers that are lost at about the same time probably share a cause, such as
+// a rack without power. Their agents detect it some hundred milliseconds apart.
 #ifndef EGRETSWITCH_SRC_WORKER_LOSSES_H_
 #define EGRETSWITCH_SRC_WORKER_LOSSES_H_
 
@@ -18,16 +18,17 @@
 
 class WorkerLosses {
  public:
-  // The worker beside `agent` is lost.
+  // Records that the worker beside `agent` was lost.
   void Record(const std::string& agent, MonoTime now);
 
-  // How many agents, but for those in `apart`, lost a worker at about `at`.
-  size_t LostAround(MonoTime at, const std::set<std::string>& apart) const;
+  // Returns how many agents, without those in `excluded`, lost a worker at
+  // about `at`.
+  size_t LostAround(MonoTime at, const std::set<std::string>& excluded) const;
 
  private:
   struct Loss {
     std::string agent;
-    MonoTime noticed_at;
+    MonoTime detected_at;
   };
   std::deque<Loss> m_losses;  // the oldest first
 };
--- a/src/worker_pool.cc
+++ b/src/worker_pool.cc
@@ -1,11 +1,13 @@
-// A worker's score is its expected slowness with a share for how full it is:
-// the fastest worker first, but of equally fast ones the emptier.
+// Scores workers by their expected slowness plus a share for how full they are.
+// The lowest score is best: the fastest worker, and the emptier of equally fast
+// ones.
 //
 //   slowness 1.0, half full -> 1.15     slowness 1.3, empty -> 1.30
 //
-// A worker whose runs go badly for several jobs in a row is ejected for a time,
-// then gets one job on probation. At most a third is ejected at once: when more
-// fail, the fault is not theirs.
+// A worker on which several jobs in a row fail or hang is ejected for a while,
+// then gets a single run on probation. At most a third of the workers is
+// ejected at once, because more failures than that have a cause outside the
+// workers.
 #include "worker_pool.h"
 
 #include <algorithm>
@@ -22,23 +24,26 @@
 // the difference between the kinds of workers (a third), so that speed decides
 // first.
 constexpr double kFullnessWeight = 0.25;
-// Random part of the score, so that entries with the same view spread.
+// Random part of the score, so that entries with the same reports choose
+// different workers.
 constexpr double kScoreNoise = 0.05;
-// How much one run moves the learnt slowness.
+// Weight of one run in the moving average of the slowness.
 constexpr double kSlownessGain = 0.15;
-// One run counts as at most so slow or fast: estimates are often far off.
+// Bounds on the slowness that one run counts as, since callers' estimates are
+// often far off.
 constexpr double kMaxSlowness = 8;
 constexpr double kMinSlowness = 0.2;
 
-// A worker's room changes some thirty times a second.
+// A worker's free capacity changes some thirty times a second, so a report this
+// recent is very likely still true.
 constexpr absl::Duration kFreshReport = absl::Milliseconds(10);
 
-// What is known of an agent outlasts a short loss of its link.
-constexpr absl::Duration kKeepUnlinked = absl::Seconds(10);
+// The record of an agent is retained over a short loss of its link.
+constexpr absl::Duration kUnlinkedRetention = absl::Seconds(10);
 
 constexpr uint32_t kBadJobsToEject = 3;
-constexpr absl::Duration kEjection = absl::Seconds(2);
-constexpr double kMostEjected = 1.0 / 3;
+constexpr absl::Duration kEjectionTime = absl::Seconds(2);
+constexpr double kMaxEjectedShare = 1.0 / 3;
 
 }  // namespace
 
@@ -56,10 +61,10 @@
 }
 
 PooledWorker& WorkerPool::LinkUp(const std::string& agent,
-                               uint64_t incarnation,
-                               std::string_view data_centre,
-                               MonoTime now) {
-  PooledWorker& worker = m_seats[agent];
+                                 uint64_t incarnation,
+                                 std::string_view data_centre,
+                                 MonoTime now) {
+  PooledWorker& worker = m_workers[agent];
   if (worker.incarnation != incarnation) {
     const uint32_t runs = worker.runs;
     const MonoTime last_sent = worker.last_sent;
@@ -74,7 +79,7 @@
   worker.data_centre = std::string(data_centre);
   worker.evacuated = m_evacuations.Covers(data_centre);
   worker.linked = true;
-  // Each of them was handled or is lost: the next report counts the former.
+  // Each start was either handled, and then the next report counts it, or lost.
   worker.unreported_starts.clear();
   worker.last_received_at = now;
   worker.next_renewal = now;
@@ -83,18 +88,18 @@
 }
 
 PooledWorker* WorkerPool::Find(const std::string& agent) {
-  const auto it = m_seats.find(agent);
-  return it == m_seats.end() ? nullptr : &it->second;
+  const auto it = m_workers.find(agent);
+  return it == m_workers.end() ? nullptr : &it->second;
 }
 
 const PooledWorker* WorkerPool::Find(const std::string& agent) const {
-  const auto it = m_seats.find(agent);
-  return it == m_seats.end() ? nullptr : &it->second;
+  const auto it = m_workers.find(agent);
+  return it == m_workers.end() ? nullptr : &it->second;
 }
 
 PooledWorker* WorkerPool::TakeUnresponsive(MonoTime now) {
   PooledWorker* longest = nullptr;
-  for (auto& [name, worker] : m_seats) {
+  for (auto& [name, worker] : m_workers) {
     const bool due = worker.linked && now >= worker.next_redial &&
                      now - worker.unanswered_since > kLinkRedialAfter;
     if (due && (longest == nullptr ||
@@ -109,10 +114,10 @@
 }
 
 void WorkerPool::DropUnlinked(MonoTime now) {
-  std::erase_if(m_seats, [now](const auto& entry) {
+  std::erase_if(m_workers, [now](const auto& entry) {
     const PooledWorker& worker = entry.second;
     return !worker.linked && worker.runs == 0 &&
-           now - worker.unlinked_at > kKeepUnlinked;
+           now - worker.unlinked_at > kUnlinkedRetention;
   });
 }
 
@@ -130,7 +135,8 @@
   worker.last_received_at = now;
   worker.unanswered_since = absl::InfiniteDuration();
   while (!worker.unreported_starts.empty() &&
-         worker.unreported_starts.front().sequence <= worker.status.started_through) {
+         worker.unreported_starts.front().sequence <=
+             worker.status.started_through) {
     worker.unreported_starts.pop_front();
   }
   worker.free = worker.status.free;
@@ -141,21 +147,21 @@
 
 double WorkerPool::Score(const PooledWorker& worker, const TaskNeeds& needs) {
   const double capacity = std::max(1u, worker.status.capacity.millicores);
-  const double left =
+  const double remaining =
       static_cast<double>(worker.free.millicores - needs.millicores);
-  const double fullness = 1 - left / capacity;
+  const double fullness = 1 - remaining / capacity;
   const double noise =
       std::uniform_real_distribution<double>(0, kScoreNoise)(m_random);
   return worker.slowness * (1 + kFullnessWeight * fullness) + noise;
 }
 
 PooledWorker* WorkerPool::Pick(std::string_view service,
-                             const TaskNeeds& needs,
-                             const std::set<std::string>& avoid,
-                             MonoTime now) {
+                               const TaskNeeds& needs,
+                               const std::set<std::string>& avoid,
+                               MonoTime now) {
   PooledWorker* best = nullptr;
   double best_score = 0;
-  for (auto& [name, worker] : m_seats) {
+  for (auto& [name, worker] : m_workers) {
     const bool eligible = worker.HasFreshStatus(now) && worker.Usable(now) &&
                           worker.status.service == service &&
                           Fits(needs, worker.free) && !avoid.contains(name);
@@ -174,15 +180,16 @@
 bool WorkerPool::CouldFit(std::string_view service,
                           const TaskNeeds& needs,
                           MonoTime now) const {
-  return std::any_of(m_seats.begin(), m_seats.end(), [&](const auto& entry) {
-    const PooledWorker& worker = entry.second;
-    return worker.Usable(now) && worker.status.service == service &&
-           Fits(needs, worker.status.capacity);
-  });
+  return std::any_of(
+      m_workers.begin(), m_workers.end(), [&](const auto& entry) {
+        const PooledWorker& worker = entry.second;
+        return worker.Usable(now) && worker.status.service == service &&
+               Fits(needs, worker.status.capacity);
+      });
 }
 
 bool WorkerPool::AnyWorker() const {
-  return std::any_of(m_seats.begin(), m_seats.end(), [](const auto& entry) {
+  return std::any_of(m_workers.begin(), m_workers.end(), [](const auto& entry) {
     const PooledWorker& worker = entry.second;
     return worker.linked && (worker.status.accepting || worker.evacuated);
   });
@@ -190,14 +197,14 @@
 
 void WorkerPool::SetEvacuations(Evacuations state) {
   m_evacuations = std::move(state);
-  for (auto& [name, worker] : m_seats) {
+  for (auto& [name, worker] : m_workers) {
     worker.evacuated = m_evacuations.Covers(worker.data_centre);
   }
 }
 
 bool WorkerPool::AllEvacuated(std::string_view service) const {
   bool any = false;
-  for (const auto& [name, worker] : m_seats) {
+  for (const auto& [name, worker] : m_workers) {
     if (!worker.linked || worker.status.service != service) {
       continue;
     }
@@ -210,17 +217,18 @@
 }
 
 bool WorkerPool::AnyRunsUncertain(MonoTime now) const {
-  return std::any_of(m_seats.begin(), m_seats.end(), [now](const auto& entry) {
-    const PooledWorker& worker = entry.second;
-    const bool replaced = now - worker.replaced_at < 2 * kRunCertainlyOver;
-    return worker.runs > 0 && (replaced || worker.Suspect(now));
-  });
+  return std::any_of(
+      m_workers.begin(), m_workers.end(), [now](const auto& entry) {
+        const PooledWorker& worker = entry.second;
+        const bool replaced = now - worker.replaced_at < 2 * kRunCertainlyOver;
+        return worker.runs > 0 && (replaced || worker.Suspect(now));
+      });
 }
 
 WorkerPool::View WorkerPool::ViewOf(std::string_view service,
                                     MonoTime now) const {
   View view;
-  for (const auto& [name, worker] : m_seats) {
+  for (const auto& [name, worker] : m_workers) {
     if (!worker.linked || worker.status.service != service) {
       continue;
     }
@@ -241,8 +249,8 @@
 }
 
 void WorkerPool::ChargeStart(PooledWorker& worker,
-                      const TaskNeeds& needs,
-                      uint32_t count) {
+                             const TaskNeeds& needs,
+                             uint32_t count) {
   const TaskNeeds taken = Times(needs, count);
   worker.unreported_starts.push_back({++worker.last_sequence, taken});
   Subtract(worker.free, taken);
@@ -250,8 +258,8 @@
 }
 
 void WorkerPool::RecordGoodRun(PooledWorker& worker,
-                             uint32_t run_ms,
-                             uint32_t estimate_ms) {
+                               uint32_t run_ms,
+                               uint32_t estimate_ms) {
   const double ratio =
       std::clamp(static_cast<double>(run_ms) / std::max(1u, estimate_ms),
                  kMinSlowness, kMaxSlowness);
@@ -264,15 +272,16 @@
                               const std::string& job,
                               MonoTime now) {
   if (worker.last_bad_job == job && worker.consecutive_bad_jobs > 0) {
-    return false;  // a job whose own tasks fail says little of the worker
+    return false;  // further failures of one job count once
   }
   worker.last_bad_job = job;
   ++worker.consecutive_bad_jobs;
-  const bool enough = worker.on_probation || worker.consecutive_bad_jobs >= kBadJobsToEject;
-  if (!enough || !MayBeEjected(now)) {
+  const bool eject =
+      worker.on_probation || worker.consecutive_bad_jobs >= kBadJobsToEject;
+  if (!eject || !MayBeEjected(now)) {
     return false;
   }
-  worker.ejected_until = now + kEjection;
+  worker.ejected_until = now + kEjectionTime;
   worker.on_probation = true;
   return true;
 }
@@ -280,12 +289,12 @@
 bool WorkerPool::MayBeEjected(MonoTime now) const {
   size_t ejected = 0;
   size_t usable = 0;
-  for (const auto& [name, worker] : m_seats) {
+  for (const auto& [name, worker] : m_workers) {
     usable += worker.linked && worker.status.accepting ? 1 : 0;
     ejected += now < worker.ejected_until ? 1 : 0;
   }
   return static_cast<double>(ejected + 1) <=
-         std::max(1.0, kMostEjected * static_cast<double>(usable));
+         std::max(1.0, kMaxEjectedShare * static_cast<double>(usable));
 }
 
 }  // namespace egretswitch::internal
