--- a/test/evacuation_test.cc
+++ b/test/evacuation_test.cc
@@ -1,6 +1,6 @@
-// Data centres that are emptied under load and taken back, in virtual time: the
-// real decisions of entries and agents (RunWorld), six workers in three data
-// centres.
+// Tests data centres that are evacuated under load and taken back into service,
+// in virtual time: the real state machines of entries and agents (RunWorld),
+// with six workers in three data centres.
 #include <boost/test/unit_test.hpp>
 #include <set>
 #include <string>
@@ -14,7 +14,8 @@
 
 constexpr VirtualUs kEvacuated = Ms(2000);
 
-// A job of two small tasks each 5 ms, which take a twelfth of the room.
+// Every 5 ms a job of two small tasks; together the jobs use a twelfth of the
+// capacity.
 std::vector<JobPlan> SteadyJobs(VirtualUs until) {
   std::vector<JobPlan> plans;
   for (VirtualUs at = Ms(600); at < until; at += Ms(5)) {
@@ -36,18 +37,20 @@
 }
 
 struct EvacuationFixture {
-  // `done` are the numbers of jobs that came in [from, to).
+  // Counts the completed jobs of those submitted in [from, to).
   int CompletedBetween(VirtualUs from, VirtualUs to) const {
     int completed = 0;
     for (size_t i = 0; i < plans.size(); ++i) {
       const JobOutcome outcome = world.OutcomeOf(static_cast<int>(i));
-      const bool meant = plans[i].at >= from && plans[i].at < to;
-      completed += meant && outcome.verdict == JobVerdict::kCompleted ? 1 : 0;
+      const bool in_interval = plans[i].at >= from && plans[i].at < to;
+      completed +=
+          in_interval && outcome.verdict == JobVerdict::kCompleted ? 1 : 0;
     }
     return completed;
   }
 
-  // Starts in the data centre during [from, to), counted when the time comes.
+  // Counts the starts in the data centre during [from, to) into `count`, while
+  // the world runs.
   void CountStarts(int data_centre, VirtualUs from, VirtualUs to, int& count) {
     world.At(from, [this, data_centre, &count] {
       count = -world.StartsIn(data_centre);
@@ -105,7 +108,7 @@
   BOOST_TEST(second == 0);
 }
 
-BOOST_AUTO_TEST_CASE(evacuated_and_taken_back_several_times_ends_as_said_last) {
+BOOST_AUTO_TEST_CASE(repeated_evacuation_ends_in_the_last_state) {
   EvacuateAt(Ms(2000), {1});
   EvacuateAt(Ms(2100), {});
   EvacuateAt(Ms(2200), {1});
@@ -117,9 +120,9 @@
   BOOST_TEST(starts == 0);
 }
 
-// It keeps sending starts there, and the agents turn them away.
-BOOST_AUTO_TEST_CASE(entry_that_has_not_heard_of_it_starts_nothing_there) {
-  world.At(Ms(1900), [this] { world.TurnAwayFromStore(0); });
+// The entry keeps sending starts there, and the agents refuse them.
+BOOST_AUTO_TEST_CASE(entry_without_the_update_starts_nothing_there) {
+  world.At(Ms(1900), [this] { world.BlockStoreUpdates(0); });
   EvacuateAt(kEvacuated, {1});
   int starts = 0;
   CountStarts(1, kEvacuated + Ms(300), Ms(8000), starts);
@@ -128,7 +131,7 @@
   BOOST_TEST(CompletedBetween(kEvacuated, Ms(8000)) > 1150);
 }
 
-BOOST_AUTO_TEST_CASE(processes_that_lost_power_meanwhile_start_nothing_there) {
+BOOST_AUTO_TEST_CASE(processes_restarted_after_power_loss_start_nothing_there) {
   EvacuateAt(kEvacuated, {1});
   world.At(Ms(3000), [this] { world.LoseAllPower(Ms(500)); });
   int starts = 0;
@@ -138,7 +141,7 @@
   BOOST_TEST(CompletedBetween(Ms(5500), Ms(8000)) > 450);
 }
 
-BOOST_AUTO_TEST_CASE(all_evacuated_refuses_at_once_with_a_time_to_come_back) {
+BOOST_AUTO_TEST_CASE(all_evacuated_refuses_at_once_with_a_retry_time) {
   EvacuateAt(kEvacuated, {0, 1, 2});
   world.Run(Ms(10'000));
   for (size_t i = 0; i < plans.size(); ++i) {
--- a/test/link_selection_test.cc
+++ b/test/link_selection_test.cc
@@ -1,6 +1,6 @@
-// Which processes an entry dials, for deployments from a few processes to some
-// thousand: the links of an entry don't grow with them, each worker is within
-// reach, and the entries hang together.
+// Tests which processes an entry dials, for deployments from a few processes to
+// some thousand: an entry's links don't grow with the deployment, each worker
+// is linked to some entry, and the entries form one connected network.
 #include "link_selection.h"
 
 #include <algorithm>
@@ -79,7 +79,7 @@
     pool.Find(agent)->unlinked_at = clock.now().mono;
   }
 
-  // Until each agent that is chosen is linked, but for those of `dead`.
+  // Repeats the selection until each selected agent outside `dead` is linked.
   Dialled LinkAll(const std::set<std::string>& dead = {}) {
     Dialled chosen;
     for (int i = 0; i < 20; ++i) {
@@ -111,7 +111,7 @@
   LinkSelection selection{EntryName(0), kSeed};
 };
 
-// The entries that `names` link to, by whoever dials.
+// Returns the links of each entry of `names`, whichever side dials.
 std::map<std::string, std::set<std::string>> LinksOf(
     const std::vector<std::string>& names) {
   std::map<std::string, std::set<std::string>> links;
@@ -126,38 +126,38 @@
   return links;
 }
 
-// How many of `alive` news reach, in rounds of telling each neighbour, and in
-// how many rounds.
+// Returns how many entries of `alive` an update reaches if each sends it to its
+// peers, and the number of rounds.
 std::pair<size_t, int> Spread(
     const std::map<std::string, std::set<std::string>>& links,
     const std::set<std::string>& alive) {
-  std::set<std::string> told = {*alive.begin()};
+  std::set<std::string> informed = {*alive.begin()};
   int rounds = 0;
-  for (size_t before = 0; before != told.size();) {
-    before = told.size();
-    for (const std::string& teller : std::set<std::string>(told)) {
-      const auto found = links.find(teller);
+  for (size_t before = 0; before != informed.size();) {
+    before = informed.size();
+    for (const std::string& sender : std::set<std::string>(informed)) {
+      const auto found = links.find(sender);
       for (const std::string& other :
            found == links.end() ? std::set<std::string>() : found->second) {
         if (alive.contains(other)) {
-          told.insert(other);
+          informed.insert(other);
         }
       }
     }
-    rounds += told.size() > before ? 1 : 0;
+    rounds += informed.size() > before ? 1 : 0;
   }
-  return {told.size(), rounds};
+  return {informed.size(), rounds};
 }
 
 BOOST_FIXTURE_TEST_SUITE(link_selection, LinkSelectionFixture)
 
-BOOST_AUTO_TEST_CASE(small_deployment_is_linked_throughout) {
+BOOST_AUTO_TEST_CASE(small_deployment_is_fully_linked) {
   selection.SetMembers(Deployment(12, 64));
   const Dialled chosen = LinkAll();
   BOOST_TEST(chosen.agents.size() == 64u);
 }
 
-BOOST_AUTO_TEST_CASE(fleet_without_usable_workers_is_not_dialled_throughout) {
+BOOST_AUTO_TEST_CASE(fleet_without_usable_workers_is_not_fully_dialled) {
   selection.SetMembers(Deployment(183, 800));
   std::set<std::string> dead;
   for (int i = 0; i < 800; ++i) {
@@ -166,8 +166,8 @@
   BOOST_TEST(LinkAll(dead).agents.size() == 3 * LinkSelection::kMinAgents);
 }
 
-// Agents that have just started have not met their workers yet.
-BOOST_AUTO_TEST_CASE(agents_about_to_meet_their_workers_are_not_replaced) {
+// Agents that have just started have received no announcement of their workers.
+BOOST_AUTO_TEST_CASE(agents_awaiting_an_announcement_are_not_replaced) {
   selection.SetMembers(Deployment(183, 800));
   for (const std::string& agent : Choose().agents) {
     pool.LinkUp(agent, 1, "south", clock.now().mono);
@@ -176,8 +176,8 @@
   BOOST_TEST(Choose().agents.size() == LinkSelection::kMinAgents);
 }
 
-// As when all data centres but one are evacuated.
-BOOST_AUTO_TEST_CASE(work_finds_the_few_workers_that_can_be_used) {
+// The state when all data centres but one are evacuated.
+BOOST_AUTO_TEST_CASE(few_usable_workers_are_all_linked) {
   selection.SetMembers(Deployment(183, 800));
   std::set<std::string> dead;
   for (int i = 0; i < 800; ++i) {
@@ -193,7 +193,8 @@
   BOOST_TEST(Linked() == 48u);
 }
 
-// An agent's record names its worker only after the two have met.
+// An agent's record names its worker only after the worker's first
+// announcement.
 BOOST_AUTO_TEST_CASE(agents_whose_records_name_no_worker_stay_linked) {
   MemberList members;
   for (int i = 0; i < 40; ++i) {
@@ -248,20 +249,20 @@
   }
 }
 
-// By the names alone: each worker is among those of some entry, and none is
-// chosen by so many that it would be a hot spot.
+// Selected by the names alone, each worker is linked to some entry, and none to
+// so many that it would be a hot spot.
 BOOST_AUTO_TEST_CASE(agents_of_a_fleet_are_chosen_by_some_entries_each) {
   for (const auto& [entries, agents] :
        {std::pair(40, 66), std::pair(55, 240), std::pair(183, 800),
         std::pair(400, 1300)}) {
     const MemberList members = Deployment(entries, agents);
     std::map<std::string, int> chosen_by;
-    const WorkerPool nobody(0);
+    const WorkerPool empty_pool(0);
     for (int i = 0; i < entries; ++i) {
       LinkSelection of_entry(EntryName(i), 1000 + static_cast<uint64_t>(i));
       of_entry.SetMembers(members);
       for (const PeerAddress& peer :
-           of_entry.Choose(nobody, absl::ZeroDuration())) {
+           of_entry.Choose(empty_pool, absl::ZeroDuration())) {
         chosen_by[peer.name] += peer.role == ProcessRole::kAgent ? 1 : 0;
       }
     }
@@ -273,7 +274,7 @@
   }
 }
 
-BOOST_AUTO_TEST_CASE(news_reach_every_entry_in_four_steps) {
+BOOST_AUTO_TEST_CASE(updates_reach_every_entry_in_four_steps) {
   for (const int count : {3, 14, 55, 183, 400}) {
     std::vector<std::string> names;
     for (int i = 0; i < count; ++i) {
@@ -286,8 +287,9 @@
   }
 }
 
-// Before anybody has chosen others in the place of those that are gone.
-BOOST_AUTO_TEST_CASE(news_reach_every_entry_left_when_half_are_gone) {
+// No entry has replaced its terminated peers yet.
+BOOST_AUTO_TEST_CASE(
+    updates_reach_every_remaining_entry_when_half_are_terminated) {
   for (const int count : {14, 55, 183, 400}) {
     std::vector<std::string> names;
     std::set<std::string> alive;
@@ -301,7 +303,7 @@
   }
 }
 
-BOOST_AUTO_TEST_CASE(links_when_half_of_the_agents_are_dead_are_to_the_others) {
+BOOST_AUTO_TEST_CASE(links_go_to_live_agents_when_half_are_dead) {
   selection.SetMembers(Deployment(183, 800));
   std::set<std::string> dead;
   for (int i = 0; i < 800; i += 2) {
@@ -312,7 +314,7 @@
   BOOST_TEST(Linked() >= LinkSelection::kMinAgents);
 }
 
-BOOST_AUTO_TEST_CASE(agents_back_from_the_dead_take_their_places_again) {
+BOOST_AUTO_TEST_CASE(restarted_agents_are_selected_again) {
   selection.SetMembers(Deployment(183, 800));
   const Dialled before = LinkAll();
   for (const std::string& agent : before.agents) {
@@ -326,7 +328,7 @@
   BOOST_TEST((Choose().agents == before.agents));
 }
 
-BOOST_AUTO_TEST_CASE(agent_that_comes_changes_few_links) {
+BOOST_AUTO_TEST_CASE(agents_that_join_change_few_links) {
   selection.SetMembers(Deployment(183, 800));
   const Dialled before = LinkAll();
   selection.SetMembers(Deployment(183, 820));
@@ -338,7 +340,7 @@
   BOOST_TEST(kept >= LinkSelection::kMinAgents - 10);
 }
 
-BOOST_AUTO_TEST_CASE(work_beyond_what_is_linked_opens_further_links) {
+BOOST_AUTO_TEST_CASE(work_beyond_the_linked_capacity_opens_links) {
   selection.SetMembers(Deployment(3, 3000));
   LinkAll();
   for (int i = 0; i < 10; ++i) {
@@ -360,7 +362,7 @@
   BOOST_TEST(Choose().agents.size() == LinkSelection::kMinAgents);
 }
 
-BOOST_AUTO_TEST_CASE(agent_with_runs_stays_linked_whatever_its_place) {
+BOOST_AUTO_TEST_CASE(agent_with_runs_stays_linked_whatever_its_hash) {
   selection.SetMembers(Deployment(183, 800));
   const Dialled chosen = LinkAll();
   int outside = 0;
--- a/test/load_scenario.cc
+++ b/test/load_scenario.cc
@@ -99,7 +99,7 @@
       Ms(static_cast<int64_t>(kStretch * static_cast<double>(longest)) +
          kObjectiveMs);
   job.plan.patience = kind.patience + kLateObjectives * job.objective;
-  job.plan.patience_is_total = true;
+  job.plan.timeout_is_total = true;
   const double mean_work = kind.tasks * kind.work_ms / 1000 * kind.cores;
   const double size = 0.3 + 0.7 * job.CoreSeconds() / mean_work;
   job.worth = kind.worth * std::min(4.0, size);
--- a/test/refused_starts_test.cc
+++ b/test/refused_starts_test.cc
@@ -93,7 +93,7 @@
     RunWorld world(WorldOf(seed));
     CrashAll(world, Ms(3000), kRefusesFor);
     world.Run(kDay);
-    BOOST_TEST(world.MostTriesOfATask() <= kMostTries, "seed " << seed);
+    BOOST_TEST(world.MaxStartsOfATask() <= kMostTries, "seed " << seed);
     BOOST_TEST(world.violations().empty(), "seed " << seed);
   }
 }
--- a/test/remote_clock_test.cc
+++ b/test/remote_clock_test.cc
@@ -13,7 +13,7 @@
 
 BOOST_AUTO_TEST_CASE(estimate_of_readings_with_delays_uses_the_least_delayed) {
   RemoteClock clock;
-  // The truth: the peer is 4000 ms ahead. Delays of 50, 2 and 30 ms.
+  // The peer's clock is 4000 ms ahead. The readings take 50, 2 and 30 ms.
   clock.Observe(5000 - 50, absl::Milliseconds(1000));
   clock.Observe(5100 - 2, absl::Milliseconds(1100));
   clock.Observe(5200 - 30, absl::Milliseconds(1200));
--- a/test/run_faults_main.cc
+++ b/test/run_faults_main.cc
@@ -1,8 +1,8 @@
-// Plays the faults of many seeds in virtual time and prints each that breaks a
-// promise, with its faults:
+// Runs the faults of many seeds in virtual time, and prints each seed that
+// violates an invariant, with its faults:
 //
 //   build/run_faults 1 20000
-//   build/run_faults 74 74 job-55      # with all that became of that job
+//   build/run_faults 74 74 job-55      # traces that job
 //   build/run_faults 1 2000 --evacuations 3
 //   build/run_faults 1 2000 --silent-links 12
 //   build/run_faults 1 2000 --same-worker-ids
@@ -16,7 +16,7 @@
 int main(int argc, char** argv) {
   using egretswitch::internal::Ms;
   using egretswitch::internal::RunWorld;
-  cxxopts::Options options("run_faults", "drawn faults, by seeds");
+  cxxopts::Options options("run_faults", "random faults, by seeds");
   options.add_options()("first", "first seed", cxxopts::value<uint64_t>())(
       "last", "last seed", cxxopts::value<uint64_t>())(
       "job", "job to trace", cxxopts::value<std::string>()->default_value(""))(
@@ -25,7 +25,7 @@
       "silent-links", "in each seed",
       cxxopts::value<int>()->default_value("0"))(
       "faults", "in each seed", cxxopts::value<int>()->default_value("14"))(
-      "same-worker-ids", "workers start again under their ids",
+      "same-worker-ids", "workers restart under their former ids",
       cxxopts::value<bool>()->default_value("false"));
   options.parse_positional({"first", "last", "job"});
   const auto arguments = options.parse(argc, argv);
@@ -43,7 +43,7 @@
         {.seed = seed,
          .faults = arguments["faults"].as<int>(),
          .evacuations = arguments["evacuations"].as<int>(),
-         .silent_links = arguments["silent-links"].as<int>(),
+         .unresponsive_links = arguments["silent-links"].as<int>(),
          .traced_job = arguments["job"].as<std::string>(),
          .same_worker_ids = arguments["same-worker-ids"].as<bool>()});
     world.Run(Ms(25'000));
--- a/test/run_faults_test.cc
+++ b/test/run_faults_test.cc
@@ -1,6 +1,6 @@
-// Jobs made of steps under drawn faults, in virtual time: processes killed,
-// frozen, powered off and restarted, links cut one way and reset, calls to
-// workers lost or carried out seconds late, workers replaced.
+// Tests jobs made of steps under random faults in virtual time: processes
+// killed, frozen, powered off and restarted, links cut in one direction and
+// reset, calls to workers lost or carried out seconds late, workers replaced.
 #include <boost/test/unit_test.hpp>
 #include <string>
 
@@ -11,15 +11,15 @@
 
 constexpr VirtualUs kDay = Ms(25'000);
 
-std::string Story(const RunWorld& world) {
-  std::string story;
+std::string LogOf(const RunWorld& world) {
+  std::string log;
   for (const std::string& line : world.fault_log()) {
-    story += "\n  " + line;
+    log += "\n  " + line;
   }
   for (const std::string& line : world.violations()) {
-    story += "\n  violated: " + line;
+    log += "\n  violated: " + line;
   }
-  return story;
+  return log;
 }
 
 BOOST_AUTO_TEST_SUITE(run_faults)
@@ -28,7 +28,7 @@
   for (uint64_t seed = 1; seed <= 10; ++seed) {
     RunWorld world({.seed = seed, .jobs = 30, .faults = 0});
     world.Run(kDay);
-    BOOST_TEST(world.violations().empty(), "seed " << seed << Story(world));
+    BOOST_TEST(world.violations().empty(), "seed " << seed << LogOf(world));
     BOOST_TEST(world.completed() == world.jobs(), "seed " << seed);
   }
 }
@@ -37,7 +37,7 @@
   for (uint64_t seed = 1; seed <= 300; ++seed) {
     RunWorld world({.seed = seed});
     world.Run(kDay);
-    BOOST_TEST(world.violations().empty(), "seed " << seed << Story(world));
+    BOOST_TEST(world.violations().empty(), "seed " << seed << LogOf(world));
   }
 }
 
@@ -45,21 +45,21 @@
   for (uint64_t seed = 1; seed <= 200; ++seed) {
     RunWorld world({.seed = seed, .agents = 6, .faults = 8, .evacuations = 3});
     world.Run(kDay);
-    BOOST_TEST(world.violations().empty(), "seed " << seed << Story(world));
+    BOOST_TEST(world.violations().empty(), "seed " << seed << LogOf(world));
   }
 }
 
-BOOST_AUTO_TEST_CASE(tasks_on_links_that_fall_silent_never_run_twice_at_once) {
+BOOST_AUTO_TEST_CASE(tasks_on_unresponsive_links_never_run_twice_at_once) {
   for (uint64_t seed = 1; seed <= 200; ++seed) {
-    RunWorld world({.seed = seed, .faults = 2, .silent_links = 12});
+    RunWorld world({.seed = seed, .faults = 2, .unresponsive_links = 12});
     world.Run(kDay);
-    BOOST_TEST(world.violations().empty(), "seed " << seed << Story(world));
+    BOOST_TEST(world.violations().empty(), "seed " << seed << LogOf(world));
   }
 }
 
-// One task of 200 ms whose link falls silent `after` it was handed in, and
-// stays so until somebody dials anew.
-JobOutcome OutcomeOnSilentLink(VirtualUs after, int* starts) {
+// Runs one task of 200 ms. Its link becomes unresponsive `after` its
+// submission, until the agent is redialled.
+JobOutcome OutcomeOnUnresponsiveLink(VirtualUs after, int* starts) {
   JobPlan plan;
   plan.id = "job-0";
   plan.at = Ms(2000);
@@ -70,77 +70,81 @@
   plan.queue.timeout_ms = 2500;
   plan.queue.objective_ms = 2500;
   RunWorld world({.entries = 1, .agents = 1, .faults = 0, .plans = {plan}});
-  world.At(plan.at + after, [&world] { world.SilenceLink(0, 0); });
+  world.At(plan.at + after, [&world] { world.MakeLinkUnresponsive(0, 0); });
   world.Run(Ms(8000));
   BOOST_TEST(world.violations().empty());
   *starts = world.StartsIn(0);
   return world.OutcomeOf(0);
 }
 
-// The order and everything after it is lost: the job hung until its timeout.
+// The start and all later messages are lost. Guards against a job that hangs
+// until its timeout.
 BOOST_AUTO_TEST_CASE(
-    job_whose_order_is_lost_on_a_silent_link_is_ordered_again) {
+    job_whose_start_is_lost_on_an_unresponsive_link_is_started_again) {
   int starts = 0;
-  const JobOutcome outcome = OutcomeOnSilentLink(-Ms(1), &starts);
+  const JobOutcome outcome = OutcomeOnUnresponsiveLink(-Ms(1), &starts);
   BOOST_TEST((outcome.verdict == JobVerdict::kCompleted));
   BOOST_TEST(outcome.attempts == 1);
   BOOST_TEST(outcome.ended_at <= Ms(2000 + 200 + 400));
   BOOST_TEST(starts == 1);
 }
 
-// The report of the end is lost: the job hung until its timeout.
+// The report of the end is lost. Guards against a job that hangs until its
+// timeout.
 BOOST_AUTO_TEST_CASE(
-    job_whose_end_is_lost_on_a_silent_link_does_not_run_again) {
+    job_whose_end_is_lost_on_an_unresponsive_link_does_not_run_again) {
   int starts = 0;
-  const JobOutcome outcome = OutcomeOnSilentLink(Ms(100), &starts);
+  const JobOutcome outcome = OutcomeOnUnresponsiveLink(Ms(100), &starts);
   BOOST_TEST((outcome.verdict == JobVerdict::kCompleted));
   BOOST_TEST(outcome.attempts == 1);
   BOOST_TEST(outcome.ended_at <= Ms(2000 + 200 + 400));
   BOOST_TEST(starts == 1);
 }
 
-BOOST_AUTO_TEST_CASE(tasks_on_workers_born_again_never_run_twice_at_once) {
+BOOST_AUTO_TEST_CASE(tasks_on_restarted_workers_never_run_twice_at_once) {
   for (uint64_t seed = 1; seed <= 300; ++seed) {
     RunWorld world({.seed = seed, .faults = 25, .same_worker_ids = true});
     world.Run(kDay);
-    BOOST_TEST(world.violations().empty(), "seed " << seed << Story(world));
+    BOOST_TEST(world.violations().empty(), "seed " << seed << LogOf(world));
   }
 }
 
-// Seeds that once broke a promise, each with its cause.
-BOOST_AUTO_TEST_CASE(seeds_that_failed_before_hold) {
+// Seeds that violated an invariant before, with their causes.
+BOOST_AUTO_TEST_CASE(seeds_that_failed_before_pass) {
   const uint64_t seeds[] = {
       2103, 2279, 2786,  // a request read after a freeze was started
-      1875, 2546,        // a report for a former process of the same name
+      1875, 2546,        // a report for a previous incarnation of the process
   };
   for (const uint64_t seed : seeds) {
     RunWorld world({.seed = seed});
     world.Run(kDay);
-    BOOST_TEST(world.violations().empty(), "seed " << seed << Story(world));
+    BOOST_TEST(world.violations().empty(), "seed " << seed << LogOf(world));
   }
 }
 
-// Seeds that once showed a start there, each with its cause.
-BOOST_AUTO_TEST_CASE(seeds_with_evacuations_that_failed_before_hold) {
+// Seeds that showed a start in an evacuated data centre before, with their
+// causes.
+BOOST_AUTO_TEST_CASE(seeds_with_evacuations_that_failed_before_pass) {
   const uint64_t seeds[] = {
-      447, 627, 1052,  // the model told a process of its predecessor's links
+      447, 627, 1052,  // the model reported links of a previous incarnation
   };
   for (const uint64_t seed : seeds) {
     RunWorld world({.seed = seed, .evacuations = 3});
     world.Run(kDay);
-    BOOST_TEST(world.violations().empty(), "seed " << seed << Story(world));
+    BOOST_TEST(world.violations().empty(), "seed " << seed << LogOf(world));
   }
 }
 
-// Seeds with workers born again that once broke a promise, each with its cause.
-BOOST_AUTO_TEST_CASE(seeds_with_same_worker_ids_that_failed_before_hold) {
+// Seeds with restarted workers that violated an invariant before, with their
+// causes.
+BOOST_AUTO_TEST_CASE(seeds_with_same_worker_ids_that_failed_before_pass) {
   const uint64_t seeds[] = {
       289,  // the model let a call outlast the process that it was sent to
   };
   for (const uint64_t seed : seeds) {
     RunWorld world({.seed = seed, .faults = 25, .same_worker_ids = true});
     world.Run(kDay);
-    BOOST_TEST(world.violations().empty(), "seed " << seed << Story(world));
+    BOOST_TEST(world.violations().empty(), "seed " << seed << LogOf(world));
   }
 }
 
--- a/test/run_loss_test.cc
+++ b/test/run_loss_test.cc
@@ -1,5 +1,5 @@
-// What an agent tells of a run that ends before or with its worker: whether it
-// had begun, whether the worker crashed, and how long it ran.
+// Tests what an agent reports of a run that ends before or with its worker:
+// whether it had begun, whether the worker crashed, and how long it ran.
 #include <boost/test/unit_test.hpp>
 #include <string>
 #include <vector>
@@ -10,15 +10,16 @@
 namespace egretswitch::internal {
 namespace {
 
-const std::string kFirstLife = IncarnationName("i-1", 1'764'750'000'000);
-const std::string kSecondLife = IncarnationName("i-1", 1'764'750'200'000);
+const std::string kFirstIncarnation = IncarnationName("i-1", 1'764'750'000'000);
+const std::string kSecondIncarnation =
+    IncarnationName("i-1", 1'764'750'200'000);
 constexpr int64_t kFirstClock = 5000;
 
 struct RunLossFixture : RunKeeperFixture {
-  // The worker of `incarnation` is there, and is told to start task 0.
+  // Connects an entry and the worker of `incarnation`, and starts task 0.
   StartCall OrderOneTask(const std::string& incarnation) {
     Do(PeerUp{"entry-1", 7});
-    look = OnlyLook(MeetWorker(incarnation));
+    poll = OnlyLook(MeetWorker(incarnation));
     StartRuns start = Start(1);
     start.worker = incarnation;
     const auto calls = ActionsOf<StartCall>(Say(start));
@@ -26,35 +27,36 @@
     return calls[0];
   }
 
-  // Another worker announces itself and answers in place of the present one.
+  // Replaces the worker by `incarnation`, which announces itself and answers
+  // the poll.
   RunReport LossBy(const std::string& incarnation) {
-    const auto looks =
+    const auto polls =
         ActionsOf<LookCall>(Do(WorkerAnnounced{Announcement(incarnation)}));
-    BOOST_REQUIRE(looks.size() == 1u);
-    const auto reports = Reports(AnswerLook(looks[0], {}, {}));
+    BOOST_REQUIRE(polls.size() == 1u);
+    const auto reports = Reports(AnswerLook(polls[0], {}, {}));
     BOOST_REQUIRE(reports.size() == 1u);
     BOOST_TEST((reports[0].end == RunEnd::kWorkerLost));
     return reports[0];
   }
 
-  LookCall look;
+  LookCall poll;
 };
 
 BOOST_FIXTURE_TEST_SUITE(run_loss, RunLossFixture)
 
-// Guards against a start that reached nobody and is told as a crash.
-BOOST_AUTO_TEST_CASE(run_never_confirmed_is_told_as_one_that_may_have_begun) {
+// Guards against reporting a start that never reached the worker as a crash.
+BOOST_AUTO_TEST_CASE(unconfirmed_run_is_reported_as_may_have_begun) {
   OrderOneTask("i-1");
   BOOST_TEST((LossBy("i-2").loss == RunLoss::kMayHaveBegun));
 }
 
-BOOST_AUTO_TEST_CASE(run_under_which_its_worker_crashed_is_told_so) {
+BOOST_AUTO_TEST_CASE(run_whose_worker_crashed_is_reported_as_crashed) {
   Do(StartAnswered{OrderOneTask("i-1"), Answer()});
   BOOST_TEST((LossBy("i-2").loss == RunLoss::kWorkerCrashed));
 }
 
-// Guards against a planned end that is told as a crash.
-BOOST_AUTO_TEST_CASE(run_on_a_worker_that_was_leaving_is_told_as_gone) {
+// Guards against reporting a planned shutdown as a crash.
+BOOST_AUTO_TEST_CASE(run_on_a_leaving_worker_is_reported_as_gone) {
   Do(StartAnswered{OrderOneTask("i-1"), Answer()});
   WorkerAnnouncement leaving = Announcement("i-1");
   leaving.leaving = true;
@@ -62,32 +64,32 @@
   BOOST_TEST((LossBy("i-2").loss == RunLoss::kWorkerGone));
 }
 
-// Guards against a start that the next life confirmed and lost sight of: its
-// clock starts anew.
-BOOST_AUTO_TEST_CASE(run_confirmed_by_the_next_life_is_no_crash_of_the_former) {
-  const StartCall call = OrderOneTask(kFirstLife);
+// Guards against a start that the worker's next incarnation confirmed but whose
+// run is then missing there. The next incarnation's clock starts anew.
+BOOST_AUTO_TEST_CASE(run_confirmed_by_the_next_incarnation_is_not_a_crash) {
+  const StartCall call = OrderOneTask(kFirstIncarnation);
   Do(StartAnswered{call, {CallVerdict::kDone, kFirstClock - 4000}});
-  BOOST_TEST((LossBy(kSecondLife).loss == RunLoss::kMayHaveBegun));
+  BOOST_TEST((LossBy(kSecondIncarnation).loss == RunLoss::kMayHaveBegun));
 }
 
-// Guards against confirmations that are passed over: answers on different
-// connections may overtake each other.
-BOOST_AUTO_TEST_CASE(run_whose_confirmation_was_overtaken_counts_as_begun) {
-  const StartCall call = OrderOneTask(kFirstLife);
+// Guards against ignored confirmations: answers on different connections may
+// overtake each other.
+BOOST_AUTO_TEST_CASE(run_with_an_overtaken_confirmation_counts_as_begun) {
+  const StartCall call = OrderOneTask(kFirstIncarnation);
   const int64_t sent_at = Answer().clock_ms;
   clock.Advance(absl::Milliseconds(100));
-  AnswerLook(look, {}, {});
+  AnswerLook(poll, {}, {});
   Do(StartAnswered{call, {CallVerdict::kDone, sent_at}});
-  BOOST_TEST((LossBy(kSecondLife).loss == RunLoss::kWorkerCrashed));
+  BOOST_TEST((LossBy(kSecondIncarnation).loss == RunLoss::kWorkerCrashed));
 }
 
-// Guards against run times of years, from which an entry would learn that the
-// worker is slow: the end may be listed before the start is answered.
+// Guards against run times of years, which would make an entry rate the worker
+// as slow. A poll may list the end before the start is answered.
 BOOST_AUTO_TEST_CASE(run_ended_before_its_start_is_answered_has_its_run_time) {
   OrderOneTask("i-1");
   clock.Advance(absl::Milliseconds(60));
   const auto reports =
-      Reports(AnswerLook(look, {}, {{1, Key(0), WorkerRunEnd::kDone}}));
+      Reports(AnswerLook(poll, {}, {{1, Key(0), WorkerRunEnd::kDone}}));
   BOOST_REQUIRE(reports.size() == 1u);
   BOOST_TEST((reports[0].end == RunEnd::kDone));
   BOOST_TEST(reports[0].run_ms == 60u);
--- a/test/run_world.cc
+++ b/test/run_world.cc
@@ -1,5 +1,5 @@
-// Messages take 0.5 ms and keep their order on a link; a cut link holds them
-// back and delivers them when it heals, as TCP does.
+// Messages take 0.5 ms and keep their order on a link. A cut link delays them
+// until it works again, as TCP does.
 #include "run_world.h"
 
 #include <algorithm>
@@ -14,7 +14,7 @@
 namespace egretswitch::internal {
 namespace {
 
-constexpr VirtualUs kSilentLinkNoticed = Ms(3000);
+constexpr VirtualUs kTcpTimeout = Ms(3000);
 constexpr VirtualUs kRestartAfter = Ms(400);
 constexpr VirtualUs kAnnouncePeriod = Ms(1500);
 
@@ -22,11 +22,11 @@
   return absl::ToInt64Microseconds(time);
 }
 
-// Of the workers' births.
+// The wall time at virtual time 0, for the start times of the workers.
 constexpr int64_t kWallTimeAtStartMs = 1'764'750'000'000;
 
 // "agent-17" -> 17
-size_t NumberIn(const std::string& name) {
+size_t NumberOf(const std::string& name) {
   return std::stoul(name.substr(name.find('-') + 1));
 }
 
@@ -80,7 +80,7 @@
   m_time.RunUntil(until);
   for (const Caller& caller : m_callers) {
     if (caller.ended && caller.all_refused && caller.started) {
-      Violate(
+      AddViolation(
           absl::StrCat(caller.plan.id, " started, and was refused as not run"));
     }
   }
@@ -94,12 +94,12 @@
   Entry& process = m_entries[entry];
   process.incarnation = ++m_incarnations;
   process.node = std::make_unique<JobDispatcher>(process.incarnation, m_policy);
-  process.held.clear();
+  process.queued.clear();
   process.frozen_until = 0;
   ToEntry(entry, TimePassed{});
-  process.turned_away = false;
-  process.evacuations_told = 0;
-  TellEvacuations(entry);
+  process.store_updates_blocked = false;
+  process.evacuations_received = 0;
+  DeliverEvacuations(entry);
   for (int agent = 0; agent < static_cast<int>(m_agents.size()); ++agent) {
     m_time.After(Ms(m_time.Random(1, 30)),
                  [this, entry, agent] { Connect(entry, agent); });
@@ -110,7 +110,7 @@
   Agent& process = m_agents[agent];
   process.incarnation = ++m_incarnations;
   process.node = std::make_unique<RunKeeper>(DataCentreOf(agent));
-  process.held.clear();
+  process.queued.clear();
   process.frozen_until = 0;
   for (int entry = 0; entry < static_cast<int>(m_entries.size()); ++entry) {
     m_time.After(Ms(m_time.Random(1, 30)),
@@ -136,12 +136,13 @@
   link.entry_incarnation = from.incarnation;
   link.agent_incarnation = to.incarnation;
   link.up = true;
-  link.silent = false;
+  link.unresponsive = false;
   ++link.number;
   link.up_since = m_time.now();
   ToEntry(entry, PeerUp{to.name, to.incarnation, DataCentreOf(agent)});
   ToAgent(agent, PeerUp{from.name, from.incarnation});
-  // What the entry remembers of the worker; at times it is the former one.
+  // The worker that the entry has on record; sometimes the previous
+  // incarnation.
   const int64_t behind = m_time.Random(0, 3) == 0 ? 1 : 0;
   ToAgent(
       agent,
@@ -151,12 +152,12 @@
 }
 
 std::string RunWorld::WorkerName(const Agent& process, uint64_t number) const {
-  const auto birth = process.worker_births.find(number);
-  if (!m_same_worker_ids || birth == process.worker_births.end()) {
+  const auto started_at = process.worker_started_at.find(number);
+  if (!m_same_worker_ids || started_at == process.worker_started_at.end()) {
     return absl::StrCat("i-", process.number, "-", number);
   }
   return IncarnationName(absl::StrCat("i-", process.number),
-                         kWallTimeAtStartMs + birth->second / 1000);
+                         kWallTimeAtStartMs + started_at->second / 1000);
 }
 
 WorkerAnnouncement RunWorld::AnnouncementOf(int agent, int64_t number) const {
@@ -173,7 +174,7 @@
           .clock_ms = clock};
 }
 
-void RunWorld::Disconnect(int entry, int agent, VirtualUs told_after) {
+void RunWorld::Disconnect(int entry, int agent, VirtualUs delay) {
   Link& link = LinkOf(entry, agent);
   if (!link.up) {
     return;
@@ -181,8 +182,9 @@
   link.up = false;
   const PeerDown to_agent{m_entries[entry].name, link.entry_incarnation};
   const PeerDown to_entry{m_agents[agent].name, link.agent_incarnation};
-  m_time.After(told_after, [this, entry, agent, to_agent, to_entry] {
-    // A process hears of its own links only, not of its predecessor's.
+  m_time.After(delay, [this, entry, agent, to_agent, to_entry] {
+    // A process is notified of its own links only, not of those of its previous
+    // incarnation.
     if (m_entries[entry].incarnation == to_agent.incarnation) {
       ToEntry(entry, to_entry);
     }
@@ -193,18 +195,18 @@
   });
 }
 
-void RunWorld::SilenceLink(int entry, int agent) {
+void RunWorld::MakeLinkUnresponsive(int entry, int agent) {
   Link& link = LinkOf(entry, agent);
-  link.silent = link.up;
-  m_time.After(kSilentLinkNoticed, [this, entry, agent, number = link.number] {
+  link.unresponsive = link.up;
+  m_time.After(kTcpTimeout, [this, entry, agent, number = link.number] {
     const Link& later = LinkOf(entry, agent);
-    if (later.silent && later.number == number) {
+    if (later.unresponsive && later.number == number) {
       Disconnect(entry, agent, kLinkDelay);
     }
   });
 }
 
-// The handshake needs both processes, and the network both ways.
+// The handshake needs both processes, and the network in both directions.
 void RunWorld::DialAgain(int entry, int agent) {
   const Link& link = LinkOf(entry, agent);
   const VirtualUs now = m_time.now();
@@ -216,37 +218,37 @@
   }
 }
 
-void RunWorld::KillEntry(int entry, bool silent) {
+void RunWorld::KillEntry(int entry, bool power_off) {
   Entry& process = m_entries[entry];
   if (process.node == nullptr) {
     return;
   }
   process.node.reset();
   for (int agent = 0; agent < static_cast<int>(m_agents.size()); ++agent) {
-    Disconnect(entry, agent, silent ? kSilentLinkNoticed : kLinkDelay);
+    Disconnect(entry, agent, power_off ? kTcpTimeout : kLinkDelay);
   }
   for (int caller = 0; caller < jobs(); ++caller) {
     if (m_callers[caller].open_call.has_value() &&
         m_callers[caller].entry == entry) {
-      if (!silent) {
+      if (!power_off) {
         AttemptEnded(caller, std::nullopt);
       }
     }
   }
-  m_time.After(silent ? Ms(m_time.Random(700, 3500)) : kRestartAfter,
+  m_time.After(power_off ? Ms(m_time.Random(700, 3500)) : kRestartAfter,
                [this, entry] { StartEntry(entry); });
 }
 
-void RunWorld::KillAgent(int agent, bool silent) {
+void RunWorld::KillAgent(int agent, bool power_off) {
   Agent& process = m_agents[agent];
   if (process.node == nullptr) {
     return;
   }
   process.node.reset();
   for (int entry = 0; entry < static_cast<int>(m_entries.size()); ++entry) {
-    Disconnect(entry, agent, silent ? kSilentLinkNoticed : kLinkDelay);
+    Disconnect(entry, agent, power_off ? kTcpTimeout : kLinkDelay);
   }
-  m_time.After(silent ? Ms(m_time.Random(700, 3500)) : kRestartAfter,
+  m_time.After(power_off ? Ms(m_time.Random(700, 3500)) : kRestartAfter,
                [this, agent] { StartAgent(agent); });
 }
 
@@ -287,19 +289,19 @@
   m_time.After(down, [this, agent] { ReplaceWorker(agent); });
 }
 
-// Each process comes back at a moment of its own, as on real machines.
+// Each process restarts at a time of its own, as in a real deployment.
 void RunWorld::LoseAllPower(VirtualUs down) {
   for (Entry& entry : m_entries) {
     entry.node.reset();
-    const VirtualUs late = Ms(m_time.Random(0, 300));
-    m_time.After(down + late,
+    const VirtualUs delay = Ms(m_time.Random(0, 300));
+    m_time.After(down + delay,
                  [this, number = entry.number] { StartEntry(number); });
   }
   for (Agent& agent : m_agents) {
     agent.node.reset();
     CrashWorker(agent.number, down);
-    const VirtualUs late = Ms(m_time.Random(0, 300));
-    m_time.After(down + late,
+    const VirtualUs delay = Ms(m_time.Random(0, 300));
+    m_time.After(down + delay,
                  [this, number = agent.number] { StartAgent(number); });
   }
   for (auto& [ends, link] : m_links) {
@@ -312,12 +314,13 @@
   }
 }
 
-// Of two crashes in a row the second one's end may find a worker there again.
+// Ends a running worker first: after two crashes in a row, the first
+// replacement may have started already.
 void RunWorld::ReplaceWorker(int agent) {
   EndWorker(agent);
   Agent& process = m_agents[agent];
   const double rate = 0.98 + 0.001 * static_cast<double>(m_time.Random(0, 22));
-  process.worker_births[++process.worker_number] = m_time.now();
+  process.worker_started_at[++process.worker_number] = m_time.now();
   process.worker = std::make_unique<FakeRunWorker>(
       WorkerName(process, process.worker_number), rate, process.capacity,
       m_same_worker_ids ? m_time.now() : 0);
@@ -367,7 +370,7 @@
     return;
   }
   if (m_time.now() < process.frozen_until) {
-    process.held.push_back(event);
+    process.queued.push_back(event);
     return;
   }
   Perform(process, process.node->Handle(event, NowAt()));
@@ -398,9 +401,10 @@
   process.frozen_until = until;
   m_time.At(until, [this, &process, incarnation = process.incarnation] {
     while (process.incarnation == incarnation && process.node != nullptr &&
-           !process.held.empty() && m_time.now() >= process.frozen_until) {
-      const typename AnyProcess::Event event = std::move(process.held.front());
-      process.held.pop_front();
+           !process.queued.empty() && m_time.now() >= process.frozen_until) {
+      const typename AnyProcess::Event event =
+          std::move(process.queued.front());
+      process.queued.pop_front();
       Deliver(process, event);
     }
   });
@@ -417,7 +421,7 @@
     } else if (const auto* send = std::get_if<SendRunMessage>(&action)) {
       Transmit(entry, *send);
     } else if (const auto* dial = std::get_if<internal::DialAgain>(&action)) {
-      DialAgain(entry.number, NumberIn(dial->peer));
+      DialAgain(entry.number, NumberOf(dial->peer));
     }
   }
 }
@@ -438,16 +442,18 @@
   }
 }
 
-VirtualUs RunWorld::ArrivalOn(Way& way) const {
-  way.last_arrival =
-      std::max({m_time.now() + m_link_delay, way.cut_until, way.last_arrival});
-  return way.last_arrival;
+VirtualUs RunWorld::ArrivalOn(Direction& direction) const {
+  direction.last_arrival =
+      std::max({m_time.now() + m_link_delay, direction.cut_until,
+                direction.last_arrival});
+  return direction.last_arrival;
 }
 
 void RunWorld::Transmit(const Entry& entry, const SendRunMessage& send) {
-  const Agent& agent = m_agents[NumberIn(send.peer)];
+  const Agent& agent = m_agents[NumberOf(send.peer)];
   Link& link = LinkOf(entry.number, agent.number);
-  if (!link.up || link.silent || link.agent_incarnation != send.incarnation) {
+  if (!link.up || link.unresponsive ||
+      link.agent_incarnation != send.incarnation) {
     return;
   }
   ++m_messages;
@@ -461,9 +467,10 @@
 }
 
 void RunWorld::Transmit(const Agent& agent, const SendRunMessage& send) {
-  const Entry& entry = m_entries[NumberIn(send.peer)];
+  const Entry& entry = m_entries[NumberOf(send.peer)];
   Link& link = LinkOf(entry.number, agent.number);
-  if (!link.up || link.silent || link.entry_incarnation != send.incarnation) {
+  if (!link.up || link.unresponsive ||
+      link.entry_incarnation != send.incarnation) {
     return;
   }
   ++m_messages;
--- a/test/run_world.h
+++ b/test/run_world.h
@@ -1,16 +1,16 @@
-// Entries, agents, workers and callers of jobs made of steps in virtual time:
-// the real JobDispatcher and RunKeeper, with small fakes around them, and the
-// faults that the deployment must bear.
+// Runs entries, agents, workers and callers of jobs made of steps in virtual
+// time: the real JobDispatcher and RunKeeper, with small fakes around them, and
+// the faults that the deployment must tolerate.
 //
 //   RunWorld world({.seed = 7});
 //   world.Run(Ms(20'000));
 //   BOOST_TEST(world.violations().empty());
 //
-// Each seed draws its own faults. The checks see what callers and workers see:
+// Each seed draws its own faults. The checks use what callers and workers see:
 // no task runs twice at the same time on workers that are up, a job that was
-// refused as "not run" at every attempt never started, one is answered as
-// failed only when two workers crashed under one of its tasks, and nothing
-// starts in an evacuated data centre once its agent can know of it.
+// refused as "not run" at every attempt never started, a job is answered as
+// failed only if two workers crashed under one of its tasks, and no task starts
+// in an evacuated data centre once its agent must have received the evacuation.
 #ifndef EGRETSWITCH_TEST_RUN_WORLD_H_
 #define EGRETSWITCH_TEST_RUN_WORLD_H_
 
@@ -39,25 +39,25 @@
   double slowness = 1;  // run time over the task's work
 };
 
-// A job that a caller hands in, with what only the fakes know of it.
+// A job that a caller submits, and the behaviour of its tasks on the fakes.
 struct JobPlan {
   std::string id;
-  VirtualUs at = 0;              // first handed in
+  VirtualUs at = 0;              // of the first submission
   std::vector<int64_t> work_ms;  // of each task, on a worker of slowness 1
   TaskNeeds needs = kFakeTaskNeeds;
   uint32_t estimate_ms = 0;
   JobQueue queue;
   VirtualUs patience = Ms(2500);  // of the first attempt
-  // Whether the caller waits so long in all, or at each attempt anew.
-  bool patience_is_total = false;
+  // Whether `patience` covers all attempts together, or each one.
+  bool timeout_is_total = false;
   // Its tasks crash each worker that starts them; they never end otherwise.
   bool crashes_workers = false;
-  VirtualUs crashed_for = Ms(200);
+  VirtualUs crashed_for = Ms(200);  // until such a worker restarts
 };
 
-// What a caller has seen in the end.
+// The last answer that a caller received, and its attempts.
 struct JobOutcome {
-  std::optional<JobVerdict> verdict;  // none: no answer, at any attempt
+  std::optional<JobVerdict> verdict;  // none if the last attempt had no answer
   VirtualUs ended_at = 0;
   absl::Duration retry_after = absl::ZeroDuration();
   int attempts = 0;
@@ -70,15 +70,16 @@
   int jobs = 120;
   int faults = 14;
   int evacuations = 0;          // drawn as well, of one or two data centres
-  int silent_links = 0;         // drawn as well
+  int unresponsive_links = 0;   // drawn as well
   std::string traced_job = {};  // notes about it go to the fault log
-  // A worker that crashed starts again under its id, at times at once.
+  // Whether a crashed worker restarts under its former id, sometimes at once.
   bool same_worker_ids = false;
-  // A worker that is down refuses connections; else calls get no answer.
+  // Whether a worker that is down refuses connections; if not, calls to it get
+  // no answer.
   bool down_workers_refuse = false;
   std::vector<JobPlan> plans = {};       // in place of `jobs` drawn ones
   std::vector<WorkerPlan> workers = {};  // in place of `agents` equal ones
-  // How much of the callers each entry gets; none: all the same.
+  // Shares of the callers that the entries get; equal if empty.
   std::vector<int> entry_shares = {};
   VirtualUs link_delay = kLinkDelay;
   VirtualUs caller_delay = kLinkDelay;
@@ -91,19 +92,19 @@
 
   void Run(VirtualUs until);
 
-  // What must never happen, with the moment and the names.
+  // Violated invariants, with their times and the processes.
   const std::vector<std::string>& violations() const { return m_violations; }
   int completed() const { return m_completed; }
   int jobs() const { return static_cast<int>(m_callers.size()); }
   JobOutcome OutcomeOf(int job) const;
   uint64_t messages() const { return m_messages; }  // between processes
-  // The share of the processors of all workers that something runs on now.
+  // The share of all workers' processors that is in use now.
   double BusyShare() const;
   const RunCounters& CountersOf(int entry) const {
     return m_entries[entry].node->counters();
   }
 
-  // Troubles at a set moment.
+  // Runs `task` at a set time, such as one of the faults below.
   void At(VirtualUs at, VirtualTime::Task task) {
     m_time.At(at, std::move(task));
   }
@@ -113,31 +114,33 @@
   void CrashWorker(int agent, VirtualUs down);
   // How many workers crashed while a task of the job ran on them.
   int CrashesUnder(int job) const;
-  // How often one task was tried at one worker, at most.
-  int MostTriesOfATask() const;
-  // Agents are in kDataCentres data centres by turns: agent-4 in dc-1. The
-  // store's new state reaches each entry that runs after `told_after`.
+  // The most start attempts of one task at one worker.
+  int MaxStartsOfATask() const;
+  // Agents are assigned to kDataCentres data centres in turn: agent-4 is in
+  // dc-1. The store's new state reaches each running entry after `delay`.
   static constexpr int kDataCentres = 3;
   void SetEvacuated(const std::vector<int>& data_centres,
-                    VirtualUs told_after = Ms(5));
-  // This entry hears of no evacuation until it is started anew.
-  void TurnAwayFromStore(int entry) { m_entries[entry].turned_away = true; }
-  // Starts at workers of a data centre so far.
+                    VirtualUs delay = Ms(5));
+  // Keeps evacuations from this entry until it restarts.
+  void BlockStoreUpdates(int entry) {
+    m_entries[entry].store_updates_blocked = true;
+  }
+  // The number of starts at workers of a data centre so far.
   int StartsIn(int data_centre) const { return m_starts_in[data_centre]; }
-  // So many in a hundred of the worker's answers never come; its calls are
-  // carried out. 0: all come again.
+  // Loses this percentage of the worker's answers, though it carries the calls
+  // out. 0 restores all answers.
   void LoseAnswers(int agent, int percent) {
     m_agents[agent].answers_lost = percent;
   }
-  // What is sent on the link, either way, is lost until it is dialled anew; by
-  // the entry itself, or when TCP has noticed.
-  void SilenceLink(int entry, int agent);
-  // All processes lose power, those of the workers too, for about so long.
+  // Loses the messages on the link in both directions until it is redialled, by
+  // the entry itself or after TCP's timeout.
+  void MakeLinkUnresponsive(int entry, int agent);
+  // Terminates all processes, including the workers, for about `down`.
   void LoseAllPower(VirtualUs down);
   const std::vector<std::string>& fault_log() const { return m_fault_log; }
 
  private:
-  // A process: its state machine, or none while it is down.
+  // A process and its state machine, which is null while the process is down.
   template <typename Node, typename NodeEvent>
   struct Process {
     using Event = NodeEvent;
@@ -146,38 +149,38 @@
     uint64_t incarnation = 0;
     std::unique_ptr<Node> node;
     VirtualUs frozen_until = 0;
-    std::deque<Event> held;  // arrived while it was frozen
+    std::deque<Event> queued;  // arrived while it was frozen
     VirtualUs wake_at = 0;
   };
   struct Entry : Process<JobDispatcher, JobDispatcherEvent> {
-    bool turned_away = false;
-    uint64_t evacuations_told = 0;  // the version, and when
-    VirtualUs told_at = 0;
+    bool store_updates_blocked = false;
+    uint64_t evacuations_received = 0;  // version of the state last received
+    VirtualUs evacuations_received_at = 0;
   };
   struct Agent : Process<RunKeeper, RunKeeperEvent> {
     std::unique_ptr<FakeRunWorker> worker;
     TaskNeeds capacity = kFakeWorkerCapacity;
     double slowness = 1;
     uint64_t worker_number = 0;
-    std::map<uint64_t, VirtualUs> worker_births;  // by number
+    std::map<uint64_t, VirtualUs> worker_started_at;  // start times, by number
     uint64_t announcements = 0;
-    VirtualUs calls_harmed_until = 0;  // answers lost, or carried out late
-    int answers_lost = 0;              // in a hundred
+    VirtualUs calls_faulty_until = 0;  // answers lost, or carried out late
+    int answers_lost = 0;              // percent
   };
-  // One way of a link.
-  struct Way {
-    VirtualUs cut_until = 0;     // what is sent waits, then arrives
+  // One direction of a link.
+  struct Direction {
+    VirtualUs cut_until = 0;     // messages are delayed until then
     VirtualUs last_arrival = 0;  // arrivals keep their order
   };
   struct Link {
     uint64_t entry_incarnation = 0;
     uint64_t agent_incarnation = 0;
     bool up = false;
-    bool silent = false;
-    uint64_t number = 0;  // of this connection; rises
+    bool unresponsive = false;
+    uint64_t number = 0;  // of the present connection, rises by one
     VirtualUs up_since = 0;
-    Way to_agent;
-    Way to_entry;
+    Direction to_agent;
+    Direction to_entry;
   };
   struct Caller {
     JobPlan plan;
@@ -208,14 +211,14 @@
   void Perform(const Agent& agent, const RunKeeperActions& actions);
   void Transmit(const Entry& entry, const SendRunMessage& send);
   void Transmit(const Agent& agent, const SendRunMessage& send);
-  VirtualUs ArrivalOn(Way& way) const;
+  VirtualUs ArrivalOn(Direction& direction) const;
 
   void StartEntry(int entry);
   void StartAgent(int agent);
-  void KillEntry(int entry, bool silent);
-  void KillAgent(int agent, bool silent);
+  void KillEntry(int entry, bool power_off);
+  void KillAgent(int agent, bool power_off);
   void Connect(int entry, int agent);
-  void Disconnect(int entry, int agent, VirtualUs told_after);
+  void Disconnect(int entry, int agent, VirtualUs delay);
   void DialAgain(int entry, int agent);
   void EndWorker(int agent);
   void ReplaceWorker(int agent);
@@ -232,23 +235,23 @@
   void LeaveUnanswered(int agent,
                        const Call& call,
                        CallVerdict verdict,
-                       VirtualUs told_after);
+                       VirtualUs delay);
   void CrashSoon(int agent, const JobPlan& plan);
   bool EndedWithItsWorker(int agent, uint64_t sent_to) const;
   bool LosesAnswer(int agent);
-  CallVerdict NobodyThere(MonoTime asked) const;
-  void LookUntil(int agent, LookCall call, VirtualUs give_up, MonoTime asked);
-  void NoteStart(int agent, const RunKey& key);
+  CallVerdict VerdictOfDownWorker(MonoTime asked) const;
+  void PollUntil(int agent, LookCall call, VirtualUs deadline, MonoTime asked);
+  void RecordStart(int agent, const RunKey& key);
   static std::string DataCentreOf(int agent);
-  void TellEvacuations(int entry);
-  bool KnowsEvacuation(int agent) const;
+  void DeliverEvacuations(int entry);
+  bool EvacuationMustHaveArrived(int agent) const;
   void CheckStartCall(int agent, const RunKey& key);
   void DrawEvacuation();
-  void DrawSilentLink();
+  void DrawUnresponsiveLink();
 
   static JobPlan DrawnPlan(VirtualTime& time, int number);
   int DrawEntry();
-  VirtualUs PatienceLeft(const Caller& caller) const;
+  VirtualUs RemainingTimeout(const Caller& caller) const;
   void Submit(int caller);
   void Resend(int caller, VirtualUs after);
   void AttemptEnded(int caller, const std::optional<JobAnswer>& answer);
@@ -258,8 +261,8 @@
   void ScheduleFaults(const RunWorldOptions& options);
   void InjectFault();
   void Trace(const std::string& process, const NoteStateChange& note);
-  void Violate(const std::string& text);
-  void NoteFault(const std::string& text);
+  void AddViolation(const std::string& text);
+  void LogFault(const std::string& text);
 
   VirtualTime m_time;
   std::vector<Entry> m_entries;
@@ -278,7 +281,7 @@
   DispatchPolicy m_policy;
   const bool m_same_worker_ids;
   const bool m_down_workers_refuse;
-  Evacuations m_evacuations;                  // as the store has it
+  Evacuations m_evacuations;                  // the store's state
   std::set<std::pair<int, RunKey>> m_called;  // starts, by agent
   int m_starts_in[kDataCentres] = {};
   std::map<TaskRef, int> m_crashes;  // of workers that ran the task
--- a/test/run_world_callers.cc
+++ b/test/run_world_callers.cc
@@ -1,5 +1,5 @@
-// Callers: each hands its job in, and again after an attempt without an answer,
-// at any entry.
+// The callers of RunWorld. Each submits its job, and submits it again to any
+// entry after an attempt without an answer.
 #include <algorithm>
 #include <numeric>
 
@@ -44,8 +44,8 @@
   return entry;
 }
 
-VirtualUs RunWorld::PatienceLeft(const Caller& caller) const {
-  return caller.plan.patience_is_total
+VirtualUs RunWorld::RemainingTimeout(const Caller& caller) const {
+  return caller.plan.timeout_is_total
              ? caller.plan.at + caller.plan.patience - m_time.now()
              : caller.plan.patience;
 }
@@ -58,7 +58,7 @@
 
 void RunWorld::Submit(int caller) {
   Caller& from = m_callers[caller];
-  const VirtualUs patience = PatienceLeft(from);
+  const VirtualUs patience = RemainingTimeout(from);
   if (from.ended || from.open_call.has_value() || patience <= 0) {
     return;
   }
@@ -103,14 +103,14 @@
   }
 }
 
-// No task of this world fails by itself.
+// Tasks of this world fail only by crashes of their workers.
 void RunWorld::CheckFailure(const std::string& job) {
   const bool crashed = std::any_of(
       m_crashes.begin(), m_crashes.end(), [&job](const auto& crashes) {
         return crashes.first.job == job && crashes.second >= 2;
       });
   if (!crashed) {
-    Violate(absl::StrCat(
+    AddViolation(absl::StrCat(
         job, " failed, though no two workers crashed under a task of it"));
   }
 }
--- a/test/run_world_calls.cc
+++ b/test/run_world_calls.cc
@@ -1,6 +1,6 @@
-// Calls of agents to their workers: 1 ms each. While calls are harmed an answer
-// may be lost, or the call is carried out seconds later. A worker that is down
-// leaves them without an answer, or refuses connections.
+// Calls of agents to their workers in RunWorld, which take 1 ms each. While an
+// agent's calls are faulty, an answer may be lost, or the call is carried out
+// seconds later. A worker that is down does not answer, or refuses connections.
 #include <algorithm>
 #include <type_traits>
 #include <utility>
@@ -13,29 +13,31 @@
 
 constexpr VirtualUs kCallDelay = 500;
 constexpr VirtualUs kCallTimeout = Ms(150);
-// A look also notices within this time what began after it.
-constexpr VirtualUs kLookStep = Ms(20);
-// A task that crashes its worker does so after the start was answered.
+// A poll reports within this time the end of a run that began after it.
+constexpr VirtualUs kPollStep = Ms(20);
+// A task that crashes its worker does so this long after its start, when the
+// start has been answered.
 constexpr VirtualUs kCrashAfterStart = Ms(30);
 
 }  // namespace
 
-// A call ends with the process that it was sent to. With ids that last, only
-// the life of the worker tells, so a call for a former life is left out here;
-// one that is sent when the next life is there already is carried out by it.
+// Whether the worker process that a call was sent to has ended, and the call
+// with it. Workers that keep their ids differ only in their incarnation, so a
+// call to a previous incarnation is dropped here; one that is sent after the
+// next incarnation has started is carried out by that one.
 bool RunWorld::EndedWithItsWorker(int agent, uint64_t sent_to) const {
   return m_same_worker_ids && sent_to != 0 &&
          sent_to != m_agents[agent].worker_number;
 }
 
-// What the agent is told of a call that the worker did not answer.
+// Reports to the agent that the worker did not answer the call.
 template <typename Call>
 void RunWorld::LeaveUnanswered(int agent,
                                const Call& call,
                                CallVerdict verdict,
-                               VirtualUs told_after) {
-  m_time.After(told_after, [this, agent, call, verdict,
-                            incarnation = m_agents[agent].incarnation] {
+                               VirtualUs delay) {
+  m_time.After(delay, [this, agent, call, verdict,
+                       incarnation = m_agents[agent].incarnation] {
     if (m_agents[agent].incarnation != incarnation) {
       return;
     }
@@ -59,19 +61,19 @@
   const uint64_t incarnation = process.incarnation;
   const uint64_t sent_to =
       process.worker == nullptr ? 0 : process.worker_number;
-  const bool in_spell =
-      m_time.now() < process.calls_harmed_until && m_time.Random(0, 99) < 40;
-  const bool late = in_spell && m_time.Random(0, 1) == 0;
-  const bool harmed = in_spell || LosesAnswer(agent);
+  const bool faulty =
+      m_time.now() < process.calls_faulty_until && m_time.Random(0, 99) < 40;
+  const bool late = faulty && m_time.Random(0, 1) == 0;
+  const bool loses_answer = faulty || LosesAnswer(agent);
   const VirtualUs arrives = late ? Ms(m_time.Random(2000, 6000)) : kCallDelay;
   m_time.After(arrives,
-               [this, agent, call, carry, incarnation, harmed, sent_to] {
+               [this, agent, call, carry, incarnation, loses_answer, sent_to] {
                  if (m_agents[agent].worker == nullptr ||
                      EndedWithItsWorker(agent, sent_to)) {
                    return;
                  }
                  const RunKeeperEvent event = carry(*m_agents[agent].worker);
-                 if (!harmed) {
+                 if (!loses_answer) {
                    m_time.After(kCallDelay, [this, agent, event, incarnation] {
                      if (m_agents[agent].incarnation == incarnation) {
                        ToAgent(agent, event);
@@ -79,7 +81,7 @@
                    });
                  }
                });
-  if (harmed || process.worker == nullptr) {
+  if (loses_answer || process.worker == nullptr) {
     LeaveUnanswered(agent, call, CallVerdict::kUnknown, kCallTimeout);
   }
 }
@@ -96,7 +98,7 @@
     const CallAnswer answer =
         worker.Start(call, m_time.now(), work_ms, plan.needs);
     if (answer.verdict == CallVerdict::kDone && !was_there) {
-      NoteStart(agent, call.key);
+      RecordStart(agent, call.key);
       if (plan.crashes_workers) {
         CrashSoon(agent, plan);
       }
@@ -105,7 +107,7 @@
   });
 }
 
-// The worker that runs now, and no later one.
+// Crashes the worker that runs now, but not a later one.
 void RunWorld::CrashSoon(int agent, const JobPlan& plan) {
   const auto crash = [this, agent, down = plan.crashed_for,
                       number = m_agents[agent].worker_number] {
@@ -125,11 +127,12 @@
 
 void RunWorld::CallWorker(int agent, const LookCall& call) {
   const MonoTime asked = NowAt().mono;
-  const VirtualUs give_up = m_time.now() + absl::ToInt64Microseconds(call.wait);
-  m_time.After(kCallDelay, [this, agent, call, give_up, asked,
+  const VirtualUs deadline =
+      m_time.now() + absl::ToInt64Microseconds(call.wait);
+  m_time.After(kCallDelay, [this, agent, call, deadline, asked,
                             incarnation = m_agents[agent].incarnation] {
     if (m_agents[agent].incarnation == incarnation) {
-      LookUntil(agent, call, give_up, asked);
+      PollUntil(agent, call, deadline, asked);
     }
   });
 }
@@ -139,14 +142,14 @@
   return lost > 0 && m_time.Random(0, 99) < lost;
 }
 
-// A look that had reached the worker before it went down has no answer.
-CallVerdict RunWorld::NobodyThere(MonoTime asked) const {
+// A poll that reached the worker before it went down gets no answer.
+CallVerdict RunWorld::VerdictOfDownWorker(MonoTime asked) const {
   const bool refused = m_down_workers_refuse &&
                        NowAt().mono - asked <= absl::Microseconds(kCallDelay);
   return refused ? CallVerdict::kUnreachable : CallVerdict::kUnknown;
 }
 
-int RunWorld::MostTriesOfATask() const {
+int RunWorld::MaxStartsOfATask() const {
   std::map<std::pair<int, TaskRef>, int> tries;
   int most = 0;
   for (const auto& [agent, key] : m_called) {
@@ -155,11 +158,11 @@
   return most;
 }
 
-// Answers when something has ended, or at `give_up`. A worker that is away
-// leaves the call without an answer.
-void RunWorld::LookUntil(int agent,
+// Answers when a run has ended, or at `deadline`. A worker that is down gives
+// no answer.
+void RunWorld::PollUntil(int agent,
                          LookCall call,
-                         VirtualUs give_up,
+                         VirtualUs deadline,
                          MonoTime asked) {
   Agent& process = m_agents[agent];
   const uint64_t incarnation = process.incarnation;
@@ -173,39 +176,39 @@
   };
   if (process.worker == nullptr) {
     LookAnswer none;
-    none.call.verdict = NobodyThere(asked);
+    none.call.verdict = VerdictOfDownWorker(asked);
     answer(none, m_down_workers_refuse ? kCallDelay : kCallTimeout);
     return;
   }
   const LookAnswer found = process.worker->Look(call, m_time.now());
-  const bool over = m_time.now() >= give_up || !found.ended.empty() ||
+  const bool over = m_time.now() >= deadline || !found.ended.empty() ||
                     found.call.verdict != CallVerdict::kDone;
   if (over && LosesAnswer(agent)) {
     answer(LookAnswer{},
-           std::max<VirtualUs>(0, give_up - m_time.now()) + kCallTimeout);
+           std::max<VirtualUs>(0, deadline - m_time.now()) + kCallTimeout);
     return;
   }
   if (over) {
     answer(found, kCallDelay);
     return;
   }
-  call.lease_until_ms = 0;  // the lease was extended when the call arrived
+  call.lease_until_ms = 0;  // the call extended the lease when it arrived
   const VirtualUs next =
-      std::min({give_up, process.worker->NextEnd(), m_time.now() + kLookStep});
+      std::min({deadline, process.worker->NextEnd(), m_time.now() + kPollStep});
   m_time.At(std::max(next, m_time.now() + 1),
-            [this, agent, call, give_up, asked, incarnation] {
+            [this, agent, call, deadline, asked, incarnation] {
               if (m_agents[agent].incarnation == incarnation) {
-                LookUntil(agent, call, give_up, asked);
+                PollUntil(agent, call, deadline, asked);
               }
             });
 }
 
-void RunWorld::NoteStart(int agent, const RunKey& key) {
+void RunWorld::RecordStart(int agent, const RunKey& key) {
   ++m_starts_in[agent % kDataCentres];
   m_callers[m_caller_of_job.at(key.task.job)].started = true;
   if (key.task.job == m_traced_job) {
-    NoteFault(absl::StrCat("started ", TaskText(key.task), " run ", key.run,
-                           " at ", m_agents[agent].name));
+    LogFault(absl::StrCat("started ", TaskText(key.task), " run ", key.run,
+                          " at ", m_agents[agent].name));
   }
   for (int other = 0; other < static_cast<int>(m_agents.size()); ++other) {
     FakeRunWorker* worker = m_agents[other].worker.get();
@@ -215,9 +218,9 @@
     worker->Advance(m_time.now());
     for (const auto& [running, done_at] : worker->running()) {
       if (running.task == key.task && !(other == agent && running == key)) {
-        Violate(absl::StrCat(TaskText(key.task), " run ", key.run, " at ",
-                             m_agents[agent].name, " beside run ", running.run,
-                             " at ", m_agents[other].name));
+        AddViolation(absl::StrCat(TaskText(key.task), " run ", key.run, " at ",
+                                  m_agents[agent].name, " beside run ",
+                                  running.run, " at ", m_agents[other].name));
       }
     }
   }
--- a/test/run_world_evacuations.cc
+++ b/test/run_world_evacuations.cc
@@ -1,5 +1,5 @@
-// Data centres that are evacuated and taken back, and the check that nothing is
-// started where an agent can know that nothing may be.
+// Evacuations of data centres in RunWorld, and the check that no task starts in
+// an evacuated one once the agent must have received the evacuation.
 #include <algorithm>
 
 #include "absl/strings/str_cat.h"
@@ -8,8 +8,8 @@
 namespace egretswitch::internal {
 namespace {
 
-// Within which a word of an entry that runs reaches an agent, and the starts
-// that are under way at that moment are over.
+// Within this time a message of a running entry reaches an agent, and the
+// starts in flight at that moment are over.
 constexpr VirtualUs kEvacuationBound = Ms(300);
 
 }  // namespace
@@ -19,33 +19,33 @@
 }
 
 void RunWorld::SetEvacuated(const std::vector<int>& data_centres,
-                            VirtualUs told_after) {
+                            VirtualUs delay) {
   std::set<std::string> names;
   for (const int data_centre : data_centres) {
     names.insert(absl::StrCat("dc-", data_centre));
   }
   m_evacuations = {m_evacuations.through + 1, {names.begin(), names.end()}};
-  m_time.After(told_after, [this, version = m_evacuations.through] {
+  m_time.After(delay, [this, version = m_evacuations.through] {
     for (const Entry& entry : m_entries) {
-      if (version == m_evacuations.through && !entry.turned_away) {
-        TellEvacuations(entry.number);
+      if (version == m_evacuations.through && !entry.store_updates_blocked) {
+        DeliverEvacuations(entry.number);
       }
     }
   });
 }
 
-void RunWorld::TellEvacuations(int entry) {
+void RunWorld::DeliverEvacuations(int entry) {
   if (!m_evacuations.IsLoaded() || m_entries[entry].node == nullptr) {
     return;
   }
-  m_entries[entry].evacuations_told = m_evacuations.through;
-  m_entries[entry].told_at =
+  m_entries[entry].evacuations_received = m_evacuations.through;
+  m_entries[entry].evacuations_received_at =
       std::max(m_time.now(), m_entries[entry].frozen_until);
   ToEntry(entry, EvacuationsChanged{m_evacuations});
 }
 
-// Whether an entry that knows of the present state has had the time to tell it.
-bool RunWorld::KnowsEvacuation(int agent) const {
+// Whether an entry with the present state has had the time to send it.
+bool RunWorld::EvacuationMustHaveArrived(int agent) const {
   const VirtualUs since = m_time.now() - kEvacuationBound;
   if (m_agents[agent].frozen_until > since) {
     return false;
@@ -54,23 +54,24 @@
       m_entries.begin(), m_entries.end(), [&](const Entry& entry) {
         const auto link = m_links.find({entry.number, agent});
         return entry.node != nullptr &&
-               entry.evacuations_told == m_evacuations.through &&
-               entry.told_at <= since && entry.frozen_until <= since &&
-               link != m_links.end() && link->second.up &&
-               link->second.up_since <= since &&
+               entry.evacuations_received == m_evacuations.through &&
+               entry.evacuations_received_at <= since &&
+               entry.frozen_until <= since && link != m_links.end() &&
+               link->second.up && link->second.up_since <= since &&
                link->second.to_agent.cut_until <= since &&
                link->second.to_agent.last_arrival <= m_time.now();
       });
 }
 
-// Calls for a start that was under way already are repeated.
+// Only the first call of a start counts: calls for one in progress are
+// repeated.
 void RunWorld::CheckStartCall(int agent, const RunKey& key) {
   const bool first = m_called.insert({agent, key}).second;
   if (first && m_evacuations.Covers(DataCentreOf(agent)) &&
-      KnowsEvacuation(agent)) {
-    Violate(absl::StrCat(TaskText(key.task), " run ", key.run, " started at ",
-                         m_agents[agent].name, " in the evacuated ",
-                         DataCentreOf(agent)));
+      EvacuationMustHaveArrived(agent)) {
+    AddViolation(absl::StrCat(TaskText(key.task), " run ", key.run,
+                              " started at ", m_agents[agent].name,
+                              " in the evacuated ", DataCentreOf(agent)));
   }
 }
 
--- a/test/run_world_faults.cc
+++ b/test/run_world_faults.cc
@@ -1,4 +1,4 @@
-// The faults that a seed draws, and the story of what was done.
+// The faults that a seed draws, and the log of faults and violations.
 #include "absl/strings/str_cat.h"
 #include "run_world.h"
 
@@ -8,24 +8,26 @@
   for (int i = 0; i < options.faults; ++i) {
     m_time.At(Ms(m_time.Random(800, 12'000)), [this] { InjectFault(); });
   }
-  for (int i = 0; i < options.silent_links; ++i) {
-    m_time.At(Ms(m_time.Random(800, 12'000)), [this] { DrawSilentLink(); });
+  for (int i = 0; i < options.unresponsive_links; ++i) {
+    m_time.At(Ms(m_time.Random(800, 12'000)),
+              [this] { DrawUnresponsiveLink(); });
   }
   for (int i = 0; i < options.evacuations; ++i) {
     m_time.At(Ms(m_time.Random(800, 12'000)), [this] { DrawEvacuation(); });
   }
 }
 
-void RunWorld::DrawSilentLink() {
+void RunWorld::DrawUnresponsiveLink() {
   const int entry = static_cast<int>(
       m_time.Random(0, static_cast<int64_t>(m_entries.size()) - 1));
   const int agent = static_cast<int>(
       m_time.Random(0, static_cast<int64_t>(m_agents.size()) - 1));
-  NoteFault(absl::StrCat("silence entry ", entry, " and agent ", agent));
-  SilenceLink(entry, agent);
+  LogFault(absl::StrCat("make link unresponsive: entry ", entry, " and agent ",
+                        agent));
+  MakeLinkUnresponsive(entry, agent);
 }
 
-// One of the entries at times hears of it only when it is started anew.
+// In some draws, one entry receives the evacuation only after its restart.
 void RunWorld::DrawEvacuation() {
   std::vector<int> data_centres;
   for (int64_t left = m_time.Random(1, 2); left > 0; --left) {
@@ -33,15 +35,15 @@
         static_cast<int>(m_time.Random(0, kDataCentres - 1)));
   }
   if (m_time.Random(0, 3) == 0) {
-    TurnAwayFromStore(static_cast<int>(
+    BlockStoreUpdates(static_cast<int>(
         m_time.Random(0, static_cast<int64_t>(m_entries.size()) - 1)));
   }
   const VirtualUs lasts = Ms(m_time.Random(500, 6000));
-  NoteFault(absl::StrCat("evacuate dc-", data_centres.front(), " and dc-",
-                         data_centres.back(), " for ", lasts / 1000, " ms"));
+  LogFault(absl::StrCat("evacuate dc-", data_centres.front(), " and dc-",
+                        data_centres.back(), " for ", lasts / 1000, " ms"));
   SetEvacuated(data_centres, Ms(m_time.Random(1, 100)));
   m_time.After(lasts, [this] {
-    NoteFault("take back all data centres");
+    LogFault("take back all data centres");
     SetEvacuated({});
   });
 }
@@ -55,47 +57,47 @@
   Link& link = LinkOf(entry, agent);
   switch (m_time.Random(0, 10)) {
     case 0:
-      NoteFault(absl::StrCat("kill entry ", entry));
+      LogFault(absl::StrCat("kill entry ", entry));
       KillEntry(entry, false);
       return;
     case 1:
-      NoteFault(absl::StrCat("power off entry ", entry));
+      LogFault(absl::StrCat("power off entry ", entry));
       KillEntry(entry, true);
       return;
     case 2:
-      NoteFault(absl::StrCat("kill agent ", agent));
+      LogFault(absl::StrCat("kill agent ", agent));
       KillAgent(agent, false);
       return;
     case 3:
-      NoteFault(absl::StrCat("power off agent ", agent));
+      LogFault(absl::StrCat("power off agent ", agent));
       KillAgent(agent, true);
       return;
     case 4:
-      NoteFault(absl::StrCat("freeze entry ", entry, " until ", until));
+      LogFault(absl::StrCat("freeze entry ", entry, " until ", until));
       FreezeEntry(entry, until);
       return;
     case 5:
-      NoteFault(absl::StrCat("freeze agent ", agent, " until ", until));
+      LogFault(absl::StrCat("freeze agent ", agent, " until ", until));
       FreezeAgent(agent, until);
       return;
     case 6:
-      NoteFault(absl::StrCat("cut entry ", entry, " to agent ", agent));
+      LogFault(absl::StrCat("cut entry ", entry, " to agent ", agent));
       link.to_agent.cut_until = until;
       return;
     case 7:
-      NoteFault(absl::StrCat("cut agent ", agent, " to entry ", entry));
+      LogFault(absl::StrCat("cut agent ", agent, " to entry ", entry));
       link.to_entry.cut_until = until;
       return;
     case 8:
-      NoteFault(absl::StrCat("reset entry ", entry, " and agent ", agent));
+      LogFault(absl::StrCat("reset entry ", entry, " and agent ", agent));
       Disconnect(entry, agent, kLinkDelay);
       return;
     case 9:
-      NoteFault(absl::StrCat("harm calls of agent ", agent));
-      m_agents[agent].calls_harmed_until = until;
+      LogFault(absl::StrCat("lose or delay calls of agent ", agent));
+      m_agents[agent].calls_faulty_until = until;
       return;
     default:
-      NoteFault(absl::StrCat("crash worker of agent ", agent));
+      LogFault(absl::StrCat("crash worker of agent ", agent));
       EndWorker(agent);
       m_time.At(m_same_worker_ids && m_time.Random(0, 1) == 0
                     ? m_time.now() + Ms(m_time.Random(1, 400))
@@ -106,22 +108,22 @@
 
 void RunWorld::Trace(const std::string& process, const NoteStateChange& note) {
   std::string text = absl::StrCat(process, " ", note.what);
-  bool wanted = false;
+  bool traced = false;
   for (const NoteField& field : note.fields) {
-    wanted = wanted ||
+    traced = traced ||
              (!m_traced_job.empty() && field.value.starts_with(m_traced_job));
     absl::StrAppend(&text, " ", field.key, "=", field.value);
   }
-  if (wanted) {
-    NoteFault(text);
+  if (traced) {
+    LogFault(text);
   }
 }
 
-void RunWorld::NoteFault(const std::string& text) {
+void RunWorld::LogFault(const std::string& text) {
   m_fault_log.push_back(absl::StrCat(m_time.now() / 1000, " ms: ", text));
 }
 
-void RunWorld::Violate(const std::string& text) {
+void RunWorld::AddViolation(const std::string& text) {
   m_violations.push_back(absl::StrCat(m_time.now() / 1000, " ms: ", text));
 }
 
--- a/test/suspects_test.cc
+++ b/test/suspects_test.cc
@@ -1,5 +1,5 @@
-// Tasks under which a worker crashed: which of them may crash the next one is
-// not known, so they are kept apart.
+// Tests that tasks under which a worker crashed run on different workers, since
+// any of them may crash the next one.
 #include <boost/test/unit_test.hpp>
 #include <string>
 #include <vector>
@@ -20,7 +20,8 @@
     Do(PeerUp{"entry-2", 1});
   }
 
-  // The ends that `entry` is told of at once, when it orders one task of `job`.
+  // Starts one task of `job` for `entry`, and returns the ends reported at
+  // once.
   std::vector<RunEnd> Order(const std::string& entry,
                             const std::string& job,
                             uint32_t suspect_ms) {
@@ -28,9 +29,9 @@
     start.job = job;
     start.runs[0].suspect_ms = suspect_ms;
     std::vector<RunEnd> ends;
-    for (const RunReports& told :
+    for (const RunReports& sent :
          SentTo<RunReports>(entry, Do(PeerSaid{entry, 1, start}))) {
-      for (const RunReport& report : told.reports) {
+      for (const RunReport& report : sent.reports) {
         ends.push_back(report.end);
       }
     }
@@ -40,8 +41,8 @@
 
 BOOST_FIXTURE_TEST_SUITE(suspects_at_an_agent, SuspectsAtAgentFixture)
 
-// Guards against a sound job that is blamed for the crashes of a task of
-// another entry, which it met twice.
+// Guards against blaming a sound job for two crashes that a task of another
+// entry caused beside it.
 BOOST_AUTO_TEST_CASE(suspect_beside_a_suspect_is_refused) {
   BOOST_TEST(Order("entry-1", "5c0e", kCrashedAfterMs).empty());
   const auto ends = Order("entry-2", "7a21", kCrashedAfterMs);
@@ -56,8 +57,9 @@
   BOOST_TEST(keeper.runs() == 2u);
 }
 
-// Guards against workers that stand idle for tasks that are sound by now.
-BOOST_AUTO_TEST_CASE(task_that_outlives_its_former_run_is_no_suspect) {
+// Guards against workers that refuse suspects beside a task that has proved
+// sound.
+BOOST_AUTO_TEST_CASE(task_that_outlives_its_previous_run_is_no_suspect) {
   BOOST_TEST(Order("entry-1", "5c0e", kCrashedAfterMs).empty());
   clock.Advance(absl::Milliseconds(kCrashedAfterMs));
   BOOST_TEST(Order("entry-2", "7a21", kCrashedAfterMs).empty());
@@ -91,7 +93,7 @@
   BOOST_TEST(starts[0].runs[0].suspect_ms == kCrashedAfterMs);
 }
 
-// Guards against a task that asks the same agent again and again.
+// Guards against sending a start to the same agent again and again.
 BOOST_AUTO_TEST_CASE(suspect_that_is_refused_everywhere_waits) {
   Report(m_first, {End(0, RunEnd::kWorkerLost)}, Status());
   Report(Other(m_first), {End(0, RunEnd::kSuspectBeside, 2)}, Status());
@@ -126,15 +128,15 @@
   BOOST_TEST(SuspectMs(lost, losses) == kCrashedAfterMs);
 }
 
-// Guards against the tasks of a rack that lost its power once: each would have
-// a worker to itself.
+// Guards against suspecting all tasks of a rack that lost power once, each of
+// which would then need a worker without other suspects.
 BOOST_AUTO_TEST_CASE(task_whose_worker_crashed_beside_others_is_no_suspect) {
   losses.Record("agent-7", kFirst);
   Crash("agent-1", kFirst);
   BOOST_TEST(SuspectMs(lost, losses) == 0u);
 }
 
-// Guards against a third crash that is held against a sound task.
+// Guards against blaming a sound task for a third crash.
 BOOST_AUTO_TEST_CASE(task_under_two_crashes_beside_others_is_a_suspect) {
   losses.Record("agent-7", kFirst);
   Crash("agent-1", kFirst);
@@ -143,7 +145,7 @@
   BOOST_TEST(SuspectMs(lost, losses) == kCrashedAfterMs);
 }
 
-BOOST_AUTO_TEST_CASE(task_whose_worker_fell_silent_is_no_suspect) {
+BOOST_AUTO_TEST_CASE(task_whose_worker_was_unresponsive_is_no_suspect) {
   losses.Record("agent-1", kFirst);
   lost.push_back({"agent-1", kFirst, RunLoss::kWorkerGone, kCrashedAfterMs});
   BOOST_TEST(SuspectMs(lost, losses) == 0u);
--- a/test/worker_loss_test.cc
+++ b/test/worker_loss_test.cc
@@ -1,5 +1,5 @@
-// Sound jobs on workers that are lost, and jobs that crash their workers, in
-// virtual time with the real decisions of entries and agents.
+// Tests sound jobs on workers that are lost, and jobs that crash their workers,
+// in virtual time with the real state machines of entries and agents.
 #include <boost/test/unit_test.hpp>
 #include <cstdint>
 #include <string>
@@ -48,8 +48,8 @@
   return failed;
 }
 
-// Each of the first `count` workers crashes, and is back `down` later at a
-// moment of its own.
+// Crashes the first `count` workers. Each restarts after `down`, and 60 ms
+// after the one before it.
 void CrashTogether(RunWorld& world, VirtualUs at, int count, VirtualUs down) {
   for (int agent = 0; agent < count; ++agent) {
     world.At(at, [&world, agent, down] {
@@ -61,7 +61,7 @@
 BOOST_AUTO_TEST_SUITE(worker_loss)
 
 // Guards against sound jobs that are answered as failed after one loss of
-// power: a start that is ordered from a worker that is gone never began.
+// power. A start that is sent to a terminated worker never began.
 BOOST_AUTO_TEST_CASE(jobs_whose_workers_crash_together_are_not_failed) {
   for (uint64_t seed = 1; seed <= 20; ++seed) {
     RunWorld world(WorldOf(seed, SoundJobs()));
@@ -73,7 +73,7 @@
   }
 }
 
-// Guards against sound jobs that are blamed for two losses of power in a row.
+// Guards against sound jobs that are failed after two losses of power in a row.
 BOOST_AUTO_TEST_CASE(jobs_under_two_crashes_of_many_workers_are_not_failed) {
   for (uint64_t seed = 1; seed <= 20; ++seed) {
     RunWorld world(WorldOf(seed, SoundJobs()));
@@ -85,8 +85,8 @@
   }
 }
 
-// Guards against sound jobs that are blamed for workers that fell silent.
-BOOST_AUTO_TEST_CASE(jobs_on_workers_that_fall_silent_are_not_failed) {
+// Guards against sound jobs that are failed because workers are unresponsive.
+BOOST_AUTO_TEST_CASE(jobs_on_unresponsive_workers_are_not_failed) {
   for (uint64_t seed = 1; seed <= 20; ++seed) {
     RunWorld world(WorldOf(seed, SoundJobs()));
     for (int agent = 0; agent < kWorkers; ++agent) {
@@ -100,7 +100,7 @@
   }
 }
 
-// Guards against a task that takes down one worker after another.
+// Guards against a task that crashes one worker after another.
 BOOST_AUTO_TEST_CASE(job_that_crashes_its_workers_is_failed_after_two) {
   for (uint64_t seed = 1; seed <= 20; ++seed) {
     std::vector<JobPlan> plans = SoundJobs();
@@ -116,9 +116,10 @@
   }
 }
 
-// Guards against a crashing task that hides behind other losses: it is given up
-// all the same, one crash later.
-BOOST_AUTO_TEST_CASE(job_that_crashes_its_workers_amid_losses_has_three) {
+// Guards against retrying a crashing task because other workers are lost at the
+// same times. It is failed after one more crash.
+BOOST_AUTO_TEST_CASE(
+    job_that_crashes_its_workers_amid_losses_is_failed_after_three) {
   for (uint64_t seed = 1; seed <= 20; ++seed) {
     std::vector<JobPlan> plans = SoundJobs();
     JobPlan& crashing = plans[25];
@@ -138,9 +139,9 @@
   }
 }
 
-// Guards against a task that takes down worker after worker when these stay
-// away for long.
-BOOST_AUTO_TEST_CASE(job_whose_crashes_are_never_proved_has_three_an_attempt) {
+// Guards against a task that crashes worker after worker when these do not
+// restart for long, so that the crashes are not confirmed.
+BOOST_AUTO_TEST_CASE(job_with_unconfirmed_crashes_has_three_per_attempt) {
   for (uint64_t seed = 1; seed <= 20; ++seed) {
     std::vector<JobPlan> plans = SoundJobs();
     JobPlan& crashing = plans[25];
@@ -148,7 +149,7 @@
     crashing.crashes_workers = true;
     crashing.crashed_for = Ms(4000);
     crashing.patience = Ms(6000);
-    crashing.patience_is_total = true;
+    crashing.timeout_is_total = true;
     RunWorld world(WorldOf(seed, plans));
     world.Run(kDay);
     BOOST_TEST(world.CrashesUnder(25) <= 3 * world.OutcomeOf(25).attempts,
--- a/test/worker_pool_test.cc
+++ b/test/worker_pool_test.cc
@@ -1,4 +1,4 @@
-// Which worker an entry chooses, and which it leaves alone for a while.
+// Tests which worker an entry picks, and which ones it ejects for a while.
 #include "worker_pool.h"
 
 #include <boost/test/unit_test.hpp>
@@ -14,11 +14,13 @@
 struct WorkerPoolFixture {
   PooledWorker& Add(const std::string& agent, TaskNeeds free = kWholeWorker) {
     PooledWorker& worker = pool.LinkUp(agent, 1, "", clock.now().mono);
-    Hear(worker, free, 0);
+    ReportFrom(worker, free, 0);
     return worker;
   }
 
-  void Hear(PooledWorker& worker, TaskNeeds free, uint64_t started_through) {
+  void ReportFrom(PooledWorker& worker,
+                  TaskNeeds free,
+                  uint64_t started_through) {
     RunReports reports;
     reports.clock_ms = clock.ms();
     reports.worker = {.worker = "i-" + worker.agent,
@@ -35,7 +37,7 @@
     return pool.Pick("desk", kSixCores, avoid, clock.now().mono);
   }
 
-  bool Bad(PooledWorker& worker, const std::string& job) {
+  bool EjectedByBadRun(PooledWorker& worker, const std::string& job) {
     return pool.RecordBadRun(worker, job, clock.now().mono);
   }
 
@@ -45,13 +47,13 @@
 
 BOOST_FIXTURE_TEST_SUITE(worker_pool, WorkerPoolFixture)
 
-BOOST_AUTO_TEST_CASE(pick_equally_fast_workers_takes_the_emptier) {
+BOOST_AUTO_TEST_CASE(pick_prefers_the_emptier_of_equally_fast_workers) {
   Add("full", {6000, 1024, 0});
   Add("empty");
   BOOST_TEST(Pick()->agent == "empty");
 }
 
-BOOST_AUTO_TEST_CASE(pick_learnt_slow_worker_is_the_last_choice) {
+BOOST_AUTO_TEST_CASE(pick_takes_a_slow_worker_last) {
   PooledWorker& slow = Add("slow");
   PooledWorker& fast = Add("fast", {32000, 1024, 0});
   for (int i = 0; i < 20; ++i) {
@@ -62,16 +64,16 @@
   BOOST_TEST(Pick({"fast"})->agent == "slow");
 }
 
-BOOST_AUTO_TEST_CASE(pick_without_room_service_or_link_gives_none) {
+BOOST_AUTO_TEST_CASE(pick_without_capacity_service_or_link_returns_null) {
   PooledWorker& worker = Add("agent-1", {5999, 1024, 0});
   BOOST_TEST(Pick() == nullptr);
-  Hear(worker, kWholeWorker, 0);
+  ReportFrom(worker, kWholeWorker, 0);
   BOOST_TEST(pool.Pick("other", kSixCores, {}, clock.now().mono) == nullptr);
   worker.linked = false;
   BOOST_TEST(Pick() == nullptr);
 }
 
-BOOST_AUTO_TEST_CASE(pick_agent_with_an_unanswered_renewal_is_left_out) {
+BOOST_AUTO_TEST_CASE(pick_skips_agent_with_an_unanswered_renewal) {
   PooledWorker& worker = Add("agent-1");
   worker.unanswered_since = clock.now().mono;
   clock.Advance(kAgentSuspectAfter);
@@ -80,13 +82,13 @@
   BOOST_TEST(Pick() == nullptr);
 }
 
-BOOST_AUTO_TEST_CASE(room_counts_starts_that_the_report_does_not) {
+BOOST_AUTO_TEST_CASE(free_capacity_excludes_starts_not_yet_reported) {
   PooledWorker& worker = Add("agent-1");
   pool.ChargeStart(worker, kSixCores, 2);
   BOOST_TEST(worker.free.millicores == 52000u);
-  Hear(worker, kWholeWorker, 0);  // sent before the start arrived
+  ReportFrom(worker, kWholeWorker, 0);  // sent before the start arrived
   BOOST_TEST(worker.free.millicores == 52000u);
-  Hear(worker, {52000, 1024, 0}, worker.last_sequence);
+  ReportFrom(worker, {52000, 1024, 0}, worker.last_sequence);
   BOOST_TEST(worker.free.millicores == 52000u);
 }
 
@@ -94,9 +96,9 @@
   PooledWorker& bad = Add("bad");
   Add("agent-2");
   Add("agent-3");
-  BOOST_TEST(!Bad(bad, "a"));
-  BOOST_TEST(!Bad(bad, "b"));
-  BOOST_TEST(Bad(bad, "c"));
+  BOOST_TEST(!EjectedByBadRun(bad, "a"));
+  BOOST_TEST(!EjectedByBadRun(bad, "b"));
+  BOOST_TEST(EjectedByBadRun(bad, "c"));
   BOOST_TEST(Pick({"agent-2", "agent-3"}) == nullptr);
   clock.Advance(absl::Seconds(2));
   BOOST_TEST(Pick({"agent-2", "agent-3"}) == &bad);
@@ -106,12 +108,12 @@
   BOOST_TEST(Pick({"agent-2", "agent-3"}) == &bad);
 }
 
-BOOST_AUTO_TEST_CASE(job_that_fails_again_and_again_ejects_nobody) {
+BOOST_AUTO_TEST_CASE(one_job_that_fails_repeatedly_ejects_no_worker) {
   PooledWorker& worker = Add("agent-1");
   Add("agent-2");
   Add("agent-3");
   for (int i = 0; i < 10; ++i) {
-    BOOST_TEST(!Bad(worker, "poison"));
+    BOOST_TEST(!EjectedByBadRun(worker, "poison"));
   }
 }
 
@@ -122,7 +124,7 @@
   int ejected = 0;
   for (auto& [agent, worker] : pool.workers()) {
     for (const char* job : {"x", "y", "z"}) {
-      ejected += Bad(worker, job) ? 1 : 0;
+      ejected += EjectedByBadRun(worker, job) ? 1 : 0;
     }
   }
   BOOST_TEST(ejected == 2);
--- a/test/worker_subset_test.cc
+++ b/test/worker_subset_test.cc
@@ -1,4 +1,4 @@
-// Which workers an entry deals with, by what it has in hand.
+// Tests which workers an entry selects, by its open work.
 #include "worker_subset.h"
 
 #include <boost/test/unit_test.hpp>
@@ -14,8 +14,8 @@
 
 constexpr double kWorkerMillicores = 64'000;
 
-struct WorkerReachFixture {
-  // Workers of 64 cores; each entry draws an order of its own.
+struct WorkerSubsetFixture {
+  // Workers of 64 cores; each entry has an order of its own.
   WorkerPool Pool(uint64_t entry, int workers) {
     WorkerPool pool(entry);
     for (int i = 0; i < workers; ++i) {
@@ -38,13 +38,13 @@
     pool.Update(worker, reports, clock.now().mono);
   }
 
-  // With so many workers' room of tasks in hand.
-  void Reach(WorkerPool& pool, double workers_in_hand) {
-    SelectSubset(pool, {{"desk", workers_in_hand * kWorkerMillicores}},
-             clock.now().mono);
+  // Selects the subset for open work of this many workers' capacity.
+  void Select(WorkerPool& pool, double open_workers) {
+    SelectSubset(pool, {{"desk", open_workers * kWorkerMillicores}},
+                 clock.now().mono);
   }
 
-  static std::set<std::string> InReach(const WorkerPool& pool) {
+  static std::set<std::string> InSubset(const WorkerPool& pool) {
     std::set<std::string> names;
     for (const auto& [name, worker] : pool.workers()) {
       if (worker.in_subset) {
@@ -57,59 +57,60 @@
   VirtualClock clock;
 };
 
-BOOST_FIXTURE_TEST_SUITE(worker_reach, WorkerReachFixture)
+BOOST_FIXTURE_TEST_SUITE(worker_subset, WorkerSubsetFixture)
 
-BOOST_AUTO_TEST_CASE(reach_grows_with_the_work_in_hand_up_to_all) {
+BOOST_AUTO_TEST_CASE(subset_grows_with_the_open_work_up_to_all) {
   WorkerPool pool = Pool(1, 240);
-  Reach(pool, 0);
-  BOOST_TEST(InReach(pool).size() == 8u);
-  Reach(pool, 5);
-  BOOST_TEST(InReach(pool).size() == 40u);
-  Reach(pool, 29.5);
-  BOOST_TEST(InReach(pool).size() == 236u);
-  Reach(pool, 1000);
-  BOOST_TEST(InReach(pool).size() == 240u);
+  Select(pool, 0);
+  BOOST_TEST(InSubset(pool).size() == 8u);
+  Select(pool, 5);
+  BOOST_TEST(InSubset(pool).size() == 40u);
+  Select(pool, 29.5);
+  BOOST_TEST(InSubset(pool).size() == 236u);
+  Select(pool, 1000);
+  BOOST_TEST(InSubset(pool).size() == 240u);
 }
 
-BOOST_AUTO_TEST_CASE(reach_that_grew_shrinks_to_the_same_workers) {
+BOOST_AUTO_TEST_CASE(subset_that_grew_shrinks_to_the_same_workers) {
   WorkerPool pool = Pool(1, 240);
-  Reach(pool, 5);
-  const std::set<std::string> before = InReach(pool);
-  Reach(pool, 20);
-  Reach(pool, 5);
-  BOOST_TEST((InReach(pool) == before));
+  Select(pool, 5);
+  const std::set<std::string> before = InSubset(pool);
+  Select(pool, 20);
+  Select(pool, 5);
+  BOOST_TEST((InSubset(pool) == before));
 }
 
-BOOST_AUTO_TEST_CASE(small_fleet_is_in_reach_as_a_whole) {
+BOOST_AUTO_TEST_CASE(small_fleet_is_selected_as_a_whole) {
   for (const int workers : {1, 3, 8}) {
     WorkerPool pool = Pool(1, workers);
-    Reach(pool, 0);
-    BOOST_TEST(InReach(pool).size() == static_cast<size_t>(workers));
+    Select(pool, 0);
+    BOOST_TEST(InSubset(pool).size() == static_cast<size_t>(workers));
   }
 }
 
-BOOST_AUTO_TEST_CASE(workers_that_cannot_be_used_are_replaced_at_once) {
+BOOST_AUTO_TEST_CASE(unusable_workers_are_replaced_at_once) {
   WorkerPool pool = Pool(1, 240);
-  Reach(pool, 5);
-  const std::set<std::string> before = InReach(pool);
+  Select(pool, 5);
+  const std::set<std::string> before = InSubset(pool);
   for (const std::string& name : before) {
     pool.Find(name)->linked = false;
   }
   clock.Advance(absl::Milliseconds(20));
   BOOST_TEST(pool.Pick("desk", kSixCores, {}, clock.now().mono) == nullptr);
-  Reach(pool, 5);
+  Select(pool, 5);
   size_t usable = 0;
-  for (const std::string& name : InReach(pool)) {
+  for (const std::string& name : InSubset(pool)) {
     usable += pool.Find(name)->Usable(clock.now().mono) ? 1 : 0;
   }
   BOOST_TEST(usable == 40u);
   BOOST_TEST(pool.Pick("desk", kSixCores, {}, clock.now().mono) != nullptr);
 }
 
-BOOST_AUTO_TEST_CASE(worker_out_of_reach_is_used_while_its_report_is_fresh) {
+BOOST_AUTO_TEST_CASE(
+    worker_outside_the_subset_is_used_while_its_report_is_fresh) {
   WorkerPool pool = Pool(1, 240);
-  Reach(pool, 0);
-  std::set<std::string> reached = InReach(pool);
+  Select(pool, 0);
+  std::set<std::string> selected = InSubset(pool);
   std::string other;
   for (const auto& [name, worker] : pool.workers()) {
     other = worker.in_subset ? other : name;
@@ -119,8 +120,8 @@
   BOOST_TEST(!pool.Find(other)->HasFreshStatus(clock.now().mono));
 }
 
-// Entries that together use three quarters of the fleet reach nearly all of it,
-// and no worker has many entries to deal with.
+// The subsets of entries that together use three quarters of the fleet cover
+// nearly all of it, and no worker is in the subsets of many entries.
 BOOST_AUTO_TEST_CASE(entries_together_cover_the_fleet_evenly) {
   const std::pair<int, int> fleets[] = {
       {3, 11}, {5, 20}, {12, 240}, {55, 240}, {60, 1338}};
@@ -128,8 +129,8 @@
     std::map<std::string, int> entries_of;
     for (int entry = 1; entry <= entries; ++entry) {
       WorkerPool pool = Pool(static_cast<uint64_t>(entry), workers);
-      Reach(pool, 0.75 * workers / entries);
-      for (const std::string& name : InReach(pool)) {
+      Select(pool, 0.75 * workers / entries);
+      for (const std::string& name : InSubset(pool)) {
         ++entries_of[name];
       }
     }
@@ -139,7 +140,7 @@
     }
     BOOST_TEST(static_cast<double>(entries_of.size()) >= 0.98 * workers,
                entries << " entries, " << workers
-                       << " workers: " << entries_of.size() << " in reach");
+                       << " workers: " << entries_of.size() << " in a subset");
     BOOST_TEST(most <= 20, entries << " entries, " << workers << " workers");
   }
 }
