--- a/src/entry_contacts.h
+++ b/src/entry_contacts.h
@@ -13,8 +13,8 @@
 #include <vector>
 
 #include "absl/functional/function_ref.h"
-#include "clock.h"
 #include "capacity_reservations.h"
+#include "clock.h"
 #include "run_events.h"
 
 namespace egretswitch::internal {
@@ -68,8 +68,8 @@
     MonoTime last_word = absl::ZeroDuration();  // sent, not received
     uint64_t started_through = 0;
     std::vector<CapacityRequest> wanted;  // by urgency; none: it wants no room
-    double turn = 0;                 // the lowest is told next
-    uint64_t wanted_from = 0;        // of equal turns, the one that asked first
+    double turn = 0;                      // the lowest is told next
+    uint64_t wanted_from = 0;  // of equal turns, the one that asked first
     bool report_due = false;
     std::vector<RunReport> reports;
   };
--- a/src/evacuations.cc
+++ b/src/evacuations.cc
@@ -30,9 +30,9 @@
   if (read.through < current.through) {
     return current;
   }
-  std::set<std::string> evacuated;
+  std::set<std::string> result;
   if (!read.whole) {
-    evacuated.insert(current.data_centres.begin(), current.data_centres.end());
+    result.insert(current.data_centres.begin(), current.data_centres.end());
   }
   for (const EvacuationRecord& record : read.records) {
     const bool applied = !read.whole && record.version <= current.through;
@@ -40,12 +40,12 @@
       continue;
     }
     if (record.evacuated) {
-      evacuated.insert(record.data_centre);
+      result.insert(record.data_centre);
     } else {
-      evacuated.erase(record.data_centre);
+      result.erase(record.data_centre);
     }
   }
-  return {read.through, {evacuated.begin(), evacuated.end()}};
+  return {read.through, {result.begin(), result.end()}};
 }
 
 }  // namespace egretswitch::internal
--- a/src/job_dispatcher.cc
+++ b/src/job_dispatcher.cc
@@ -159,7 +159,8 @@
 }
 
 // Takes the room when there is some.
-PooledWorker* JobDispatcher::FindSeat(const OpenJob& job, const OpenTask& task) {
+PooledWorker* JobDispatcher::FindSeat(const OpenJob& job,
+                                      const OpenTask& task) {
   const TaskNeeds& needs = job.StepOf(task).needs;
   if (m_exhausted.Covers(job.queue.service, needs)) {
     return nullptr;
--- a/src/job_dispatcher_reports.cc
+++ b/src/job_dispatcher_reports.cc
@@ -42,7 +42,7 @@
 
 void JobDispatcher::On(const PeerUp& event) {
   PooledWorker& worker = m_pool.LinkUp(event.name, event.incarnation,
-                                   event.data_centre, m_now.mono);
+                                       event.data_centre, m_now.mono);
   worker.evacuations_sent = 0;
   if (m_pool.evacuations().IsLoaded()) {
     TellEvacuations(worker);
@@ -108,7 +108,8 @@
   m_pool.Update(*worker, *reports, m_now.mono);
   // Another entry may have told it of an evacuation that has ended since.
   const uint64_t through = m_pool.evacuations().through;
-  if (std::max(reports->worker.evacuations, worker->evacuations_sent) < through) {
+  if (std::max(reports->worker.evacuations, worker->evacuations_sent) <
+      through) {
     TellEvacuations(*worker);
   }
   for (const RunReport& report : reports->reports) {
@@ -179,7 +180,9 @@
   }
 }
 
-void JobDispatcher::TaskFailed(OpenJob& job, OpenTask& task, PooledWorker& worker) {
+void JobDispatcher::TaskFailed(OpenJob& job,
+                               OpenTask& task,
+                               PooledWorker& worker) {
   m_counters.Add(RunCounter::kRunsFailed);
   NoteBadRun(worker, job.job.id);
   task.avoid.insert(worker.agent);
@@ -239,12 +242,13 @@
     NoteBadRun(worker, job.job.id);
     task.avoid.insert(worker.agent);
   }
-  if (end == RunEnd::kSuspectBeside && !task.avoid.insert(worker.agent).second) {
+  if (end == RunEnd::kSuspectBeside &&
+      !task.avoid.insert(worker.agent).second) {
     task.not_before = m_now.mono + kSuspectPause;
   }
   Requeue(job, task,
           end == RunEnd::kNoCapacity ? RunCounter::kRetriesNoRoom
-                                 : RunCounter::kRetriesNeverStarted);
+                                     : RunCounter::kRetriesNeverStarted);
 }
 
 void JobDispatcher::Requeue(OpenJob& job, OpenTask& task, RunCounter reason) {
@@ -265,9 +269,10 @@
 void JobDispatcher::NoteBadRun(PooledWorker& worker, const std::string& job) {
   if (m_policy.eject_workers && m_pool.RecordBadRun(worker, job, m_now.mono)) {
     m_counters.Add(RunCounter::kWorkersEjected);
-    Log("worker ejected", {{"agent", worker.agent},
-                           {"worker", worker.status.worker},
-                           {"bad_jobs", absl::StrCat(worker.consecutive_bad_jobs)}});
+    Log("worker ejected",
+        {{"agent", worker.agent},
+         {"worker", worker.status.worker},
+         {"bad_jobs", absl::StrCat(worker.consecutive_bad_jobs)}});
   }
 }
 
--- a/src/job_dispatcher_time.cc
+++ b/src/job_dispatcher_time.cc
@@ -89,7 +89,8 @@
 }
 
 std::vector<RunRenewals::Due> JobDispatcher::TakeDueRenewals() {
-  std::map<std::string, std::vector<CapacityRequest>> demands = m_waiting.Demands();
+  std::map<std::string, std::vector<CapacityRequest>> demands =
+      m_waiting.Demands();
   if (!m_policy.urgent_entries_first) {
     for (auto& [service, wanted] : demands) {
       for (CapacityRequest& like_it : wanted) {
@@ -131,7 +132,8 @@
       PooledWorker& worker = *m_pool.Find(task.agent);
       const bool replaced = worker.incarnation != task.agent_incarnation;
       const MonoTime last_word =
-          replaced ? std::max(task.sent_at, worker.replaced_at) : worker.last_sent;
+          replaced ? std::max(task.sent_at, worker.replaced_at)
+                   : worker.last_sent;
       const bool lost = replaced || worker.Suspect(m_now.mono);
       if (lost && m_now.mono - last_word > kRunCertainlyOver) {
         worker.runs -= std::min(worker.runs, 1u);
--- a/src/link_selection.cc
+++ b/src/link_selection.cc
@@ -133,12 +133,12 @@
                                 MonoTime now) {
   Quota& quota = m_quotas[service];
   const auto all = static_cast<uint32_t>(m_agents.size());
-  uint32_t agents = std::max(kMinAgents, kLinksPerWorker * subset.workers);
+  uint32_t target = std::max(kMinAgents, kLinksPerWorker * subset.workers);
   if (!subset.sufficient) {
-    agents = std::max(agents, std::min(2 * quota.agents, all));
+    target = std::max(target, std::min(2 * quota.agents, all));
   }
-  if (agents >= quota.agents || now >= quota.lapses_at) {
-    quota = {agents, now + kIdleLinkRetention};
+  if (target >= quota.agents || now >= quota.lapses_at) {
+    quota = {target, now + kIdleLinkRetention};
   }
   return quota.agents;
 }
--- a/src/run_keeper.h
+++ b/src/run_keeper.h
@@ -15,11 +15,11 @@
 #include <utility>
 #include <vector>
 
+#include "capacity_reservations.h"
 #include "clock.h"
 #include "entry_contacts.h"
 #include "kept_run.h"
 #include "recent_ends.h"
-#include "capacity_reservations.h"
 #include "run_counters.h"
 #include "run_events.h"
 #include "watched_worker.h"
--- a/src/waiting_jobs.cc
+++ b/src/waiting_jobs.cc
@@ -11,7 +11,8 @@
 }
 
 // Jobs stand by urgency, so equal ones follow one another.
-std::map<std::string, std::vector<CapacityRequest>> WaitingJobs::Demands() const {
+std::map<std::string, std::vector<CapacityRequest>> WaitingJobs::Demands()
+    const {
   std::map<std::string, std::vector<CapacityRequest>> demands;
   for (const auto& [key, job] : m_jobs) {
     std::vector<CapacityRequest>& wanted = demands[job->queue.service];
--- a/src/worker_calls.h
+++ b/src/worker_calls.h
@@ -54,7 +54,7 @@
   kFenced,       // a higher token has been seen; nothing was done
   kOldNumber,    // this run number or a higher one has been; nothing was done
   kTooLate,      // the lease asked for was over already; nothing was done
-  kNoCapacity,       // nothing was done
+  kNoCapacity,   // nothing was done
   kOtherWorker,  // another incarnation answers there; nothing was done
   kRefused,      // an unhealthy worker or a bad call; nothing was done
   kUnreachable,  // no connection to it; nothing was done
--- a/src/worker_looks.cc
+++ b/src/worker_looks.cc
@@ -123,8 +123,8 @@
     due = m_next_look;
   }
   if (worker.known() && m_quick_looks == 0) {
-    due =
-        std::min(due, std::max(m_next_look, worker.last_heard() + kSecondPollDelay));
+    due = std::min(
+        due, std::max(m_next_look, worker.last_heard() + kSecondPollDelay));
   }
   if (worker.known()) {
     due = std::min(due, std::max(m_next_look, NextOfSpell(needs)));
--- a/src/worker_pool.h
+++ b/src/worker_pool.h
@@ -116,8 +116,9 @@
   bool CouldFit(std::string_view service,
                 const TaskNeeds& needs,
                 MonoTime now) const;
-  // Whether any worker is linked. Evacuated ones count, since their callers are
-  // answered that the service is evacuated.
+  // Whether any linked worker accepts tasks or is evacuated. Evacuated ones
+  // count because their callers are answered that all data centres are
+  // evacuated.
   bool AnyWorker() const;
   // Whether runs of this entry are at an unresponsive agent, or at one that was
   // replaced so recently that runs of the previous incarnation may go on.
--- a/test/run_faults_main.cc
+++ b/test/run_faults_main.cc
@@ -25,7 +25,7 @@
       "silent-links", "in each seed",
       cxxopts::value<int>()->default_value("0"))(
       "faults", "in each seed", cxxopts::value<int>()->default_value("14"))(
-      "same-worker-ids", "workers restart under their former ids",
+      "same-worker-ids", "workers start again under their former ids",
       cxxopts::value<bool>()->default_value("false"));
   options.parse_positional({"first", "last", "job"});
   const auto arguments = options.parse(argc, argv);
--- a/test/run_world.cc
+++ b/test/run_world.cc
@@ -432,8 +432,8 @@
       CallWorker(agent.number, *start);
     } else if (const auto* stop = std::get_if<StopCall>(&action)) {
       CallWorker(agent.number, *stop);
-    } else if (const auto* look = std::get_if<LookCall>(&action)) {
-      CallWorker(agent.number, *look);
+    } else if (const auto* poll = std::get_if<LookCall>(&action)) {
+      CallWorker(agent.number, *poll);
     } else if (const auto* note = std::get_if<NoteStateChange>(&action)) {
       Trace(agent.name, *note);
     } else if (const auto* send = std::get_if<SendRunMessage>(&action)) {
