--- a/src/run_limits.h
+++ b/src/run_limits.h
@@ -14,7 +14,7 @@
 // worst case both limits add up:
 //
 //   kRunLease + kWorkerLease / 0.98 + the worker's stop < kResendAfter
-//   550 ms        + 561 ms              + 50 ms             < 1300 ms
+//   550 ms    + 561 ms              + 50 ms             < 1300 ms
 #ifndef EGRETSWITCH_SRC_RUN_LIMITS_H_
 #define EGRETSWITCH_SRC_RUN_LIMITS_H_
 
@@ -31,8 +31,8 @@
 // Between renewals: two may be lost or late before kRunLease ends a run.
 inline constexpr absl::Duration kRenewPeriod = absl::Milliseconds(150);
 
-// An agent ignores a start message older than this, since its attempt may have
-// ended. Far above the delay of a busy network.
+// An agent does not carry out a start that was in flight for longer, since its
+// attempt may have ended. Far above the delay of a busy network.
 inline constexpr absl::Duration kMaxStartAge = absl::Milliseconds(300);
 
 // An entry that was paused for longer treats its attempts as ended, since it
--- a/src/worker_pool.h
+++ b/src/worker_pool.h
@@ -1,7 +1,7 @@
 // The entry's records of the workers, one for each agent, and the choice of the
 // worker that runs a task.
 //
-//   pool.Update("agent-3", status, now);
+//   pool.Update(*pool.Find("agent-3"), reports, now);
 //   PooledWorker* worker =
 //       pool.Pick("order-desk", {6200, 64, 0}, avoid, now);
 //
