--- a/test/job_dispatcher_test.cc
+++ b/test/job_dispatcher_test.cc
@@ -480,10 +480,10 @@
   AddAgent("agent-1");
   Arrive(1, 1);
   Pass(absl::Milliseconds(100));
-  BOOST_TEST(dispatcher.pool().reaches().at("desk").enough);
+  BOOST_TEST(dispatcher.pool().subsets().at("desk").sufficient);
   Do(Arrival(2, "large", {{1, {6000, 64, 1}, 100}}));
   Pass(absl::Milliseconds(20));
-  BOOST_TEST(!dispatcher.pool().reaches().at("desk").enough);
+  BOOST_TEST(!dispatcher.pool().subsets().at("desk").sufficient);
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/test/link_selection_test.cc
+++ b/test/link_selection_test.cc
@@ -370,7 +370,7 @@
     ++outside;
   }
   LinkUp(AgentName(outside));
-  pool.Take(*pool.Find(AgentName(outside)), kSixCores, 1);
+  pool.ChargeStart(*pool.Find(AgentName(outside)), kSixCores, 1);
   BOOST_TEST(Choose().agents.contains(AgentName(outside)));
 }
 
