--- a/src/deployment_tables.h
+++ b/src/deployment_tables.h
@@ -63,7 +63,7 @@
   // Whether callers can be served by what is known. Without word of evacuations
   // nobody knows where work may go.
   bool Complete() const {
-    return config().version > 0 && evacuations().Known();
+    return config().version > 0 && evacuations().IsLoaded();
   }
   // How this process came to know of what is evacuated, by data centre.
   struct Learnt {
