--- a/cmake/runs.cmake
+++ b/cmake/runs.cmake
@@ -7,7 +7,7 @@
   src/job_dispatcher_reports.cc
   src/job_dispatcher_time.cc
   src/job_notes.cc
-  src/kept_run.cc
+  src/managed_run.cc
   src/lost_runs.cc
   src/link_selection.cc
   src/member_list.cc
@@ -20,8 +20,8 @@
   src/run_counters.cc
   src/run_ends.cc
   src/run_events.cc
-  src/run_keeper.cc
-  src/run_keeper_worker.cc
+  src/run_manager.cc
+  src/run_manager_worker.cc
   src/run_renewals.cc
   src/run_time_model.cc
   src/service_config.cc
@@ -31,10 +31,10 @@
   src/table_exchange.cc
   src/usual_patience.cc
   src/waiting_jobs.cc
-  src/watched_worker.cc
+  src/worker_state.cc
   src/worker_calls.cc
   src/worker_incarnation.cc
-  src/worker_looks.cc
+  src/worker_poller.cc
   src/worker_losses.cc
   src/worker_pool.cc
   src/worker_reach.cc)
--- a/cmake/test_runs.cmake
+++ b/cmake/test_runs.cmake
@@ -6,13 +6,13 @@
   test/member_list_test.cc
   test/open_job_test.cc
   test/remote_clock_test.cc
-  test/run_keeper_test.cc
+  test/run_manager_test.cc
   test/run_time_model_test.cc
   test/service_config_test.cc
   test/start_forecast_test.cc
   test/table_exchange_test.cc
   test/usual_patience_test.cc
-  test/worker_lives_test.cc
+  test/worker_restart_test.cc
   test/worker_pool_test.cc
   test/worker_reach_test.cc
   LIBS egretswitch_runs)
--- a/src/daemon_main.cc
+++ b/src/daemon_main.cc
@@ -26,7 +26,7 @@
 #include "platform/store_client.h"
 #include "platform/wire_names.h"
 #include "platform/worker_http_calls.h"
-#include "platform/worker_news.h"
+#include "platform/worker_updates.h"
 #include "settings.h"
 #include "step_agent_daemon.h"
 #include "step_entry_daemon.h"
@@ -126,7 +126,7 @@
     const auto& agent = std::get<StepAgentSettings>(settings.role);
     platform::WorkerHttpCalls worker(loop, agent.worker_address);
     StepAgentDaemon daemon(loop, common, agent,
-                           {worker, store, platform::DecodeWorkerNews});
+                           {worker, store, platform::DecodeWorkerUpdates});
     exit_code = RunUntilDrained(loop, daemon, started, signal_fd);
   }
   StopLogging();
--- a/src/kept_run.cc
+++ b/src/managed_run.cc
@@ -1,7 +1,7 @@
 // A start without an answer may still be carried out seconds later. The stop
 // makes the worker refuse that run number from then on, so once it is answered
 // the run is certainly over.
-#include "kept_run.h"
+#include "managed_run.h"
 
 #include <algorithm>
 
@@ -9,19 +9,19 @@
 
 namespace egretswitch::internal {
 
-void KeptRun::NoteCall(MonoTime now) {
+void ManagedRun::NoteCall(MonoTime now) {
   ++calls;
   ++calls_open;
   next_call = now + kStartRetry;
 }
 
-bool KeptRun::MayCallAgain() const {
+bool ManagedRun::MayCallAgain() const {
   return state == State::kStarting && calls < kMaxStartCalls;
 }
 
 // Only when each call was refused has the run certainly never started: a lost
 // one may have started it, and then the worker refuses the next one as old.
-KeptRun::StartOutcome KeptRun::NoteStartAnswer(CallVerdict verdict,
+ManagedRun::StartOutcome ManagedRun::NoteStartAnswer(CallVerdict verdict,
                                                MonoTime now) {
   calls_open -= std::min(calls_open, 1u);
   if (verdict == CallVerdict::kDone) {
@@ -54,20 +54,20 @@
   return StartOutcome::kUnknown;
 }
 
-void KeptRun::BeginStop(MonoTime now) {
+void ManagedRun::BeginStop(MonoTime now) {
   state = State::kStopping;
   stop_answered = false;
   next_stop = now + kStopRetry;
 }
 
-void KeptRun::NoteStopAnswered(MonoTime now) {
+void ManagedRun::NoteStopAnswered(MonoTime now) {
   stop_answered = true;
   stop_answered_at = now;
 }
 
 // A list says nothing of what the worker was told after it was asked for it.
-KeptRun::ListOutcome KeptRun::NoteList(bool listed,
-                                       MonoTime asked_at,
+ManagedRun::ListOutcome ManagedRun::NoteList(bool listed,
+                                       MonoTime requested_at,
                                        MonoTime now) {
   begun = begun || listed;
   if (state == State::kUnknown && listed) {
@@ -75,20 +75,20 @@
     since = now;
     return ListOutcome::kKeep;
   }
-  if (state == State::kUnknown && asked_at > since) {
+  if (state == State::kUnknown && requested_at > since) {
     return ListOutcome::kStop;
   }
-  if (state == State::kRunning && !listed && asked_at > since) {
+  if (state == State::kRunning && !listed && requested_at > since) {
     return ListOutcome::kGone;
   }
   if (state == State::kStopping && !listed && stop_answered &&
-      asked_at > stop_answered_at) {
+      requested_at > stop_answered_at) {
     return ListOutcome::kStopped;
   }
   return ListOutcome::kKeep;
 }
 
-bool KeptRun::Doubtful() const {
+bool ManagedRun::Doubtful() const {
   return state == State::kUnknown ||
          (state == State::kStopping && stop_answered);
 }
--- a/src/kept_run.h
+++ b/src/managed_run.h
@@ -3,8 +3,8 @@
 //   starting --answered--> running --listed as ended--> reported
 //       \--no answer--> unknown --listed as running--> running
 //                              \--not listed--> stopping, then reported
-#ifndef EGRETSWITCH_SRC_KEPT_RUN_H_
-#define EGRETSWITCH_SRC_KEPT_RUN_H_
+#ifndef EGRETSWITCH_SRC_MANAGED_RUN_H_
+#define EGRETSWITCH_SRC_MANAGED_RUN_H_
 
 #include <cstdint>
 #include <string>
@@ -15,7 +15,7 @@
 
 namespace egretswitch::internal {
 
-struct KeptRun {
+struct ManagedRun {
   enum class State : uint8_t {
     kStarting,  // calls to start it are under way
     kUnknown,   // none got an answer: the next look tells
@@ -70,12 +70,12 @@
   void BeginStop(MonoTime now);
   void NoteStopAnswered(MonoTime now);
 
-  // `asked_at` is when the list was asked for.
-  ListOutcome NoteList(bool listed, MonoTime asked_at, MonoTime now);
+  // `requested_at` is when the list was asked for.
+  ListOutcome NoteList(bool listed, MonoTime requested_at, MonoTime now);
   // Whether only a list can tell what became of it.
   bool Doubtful() const;
 };
 
 }  // namespace egretswitch::internal
 
-#endif  // EGRETSWITCH_SRC_KEPT_RUN_H_
+#endif  // EGRETSWITCH_SRC_MANAGED_RUN_H_
--- a/src/run_events.h
+++ b/src/run_events.h
@@ -1,4 +1,4 @@
-// What happens to the decisions about runs, on the agent's side (RunKeeper) and
+// What happens to the decisions about runs, on the agent's side (RunManager) and
 // on the entry's (JobDispatcher), and what they ask for: their whole interface
 // to the world.
 //
@@ -77,13 +77,13 @@
   CallAnswer answer;
 };
 
-struct LookAnswered {
-  LookCall call;
-  MonoTime asked_at = absl::ZeroDuration();
-  LookAnswer answer;
+struct PollAnswered {
+  PollCall call;
+  MonoTime requested_at = absl::ZeroDuration();
+  PollAnswer answer;
 };
 
-using RunKeeperEvent = std::variant<PeerUp,
+using RunManagerEvent = std::variant<PeerUp,
                                     PeerDown,
                                     PeerSaid,
                                     TimePassed,
@@ -92,11 +92,11 @@
                                     WorkerWithdrew,
                                     StartAnswered,
                                     StopAnswered,
-                                    LookAnswered>;
+                                    PollAnswered>;
 
-using RunKeeperAction = std::
-    variant<SendRunMessage, StartCall, StopCall, LookCall, NoteStateChange>;
-using RunKeeperActions = std::vector<RunKeeperAction>;
+using RunManagerAction = std::
+    variant<SendRunMessage, StartCall, StopCall, PollCall, NoteStateChange>;
+using RunManagerActions = std::vector<RunManagerAction>;
 
 // ---- The entry's side
 // ---------------------------------------------------------
--- a/src/run_limits.h
+++ b/src/run_limits.h
@@ -46,11 +46,11 @@
 
 // A look at the worker waits this long for an end of a run, then renews the
 // lease: one look may fail within kWorkerLease.
-inline constexpr absl::Duration kLookWait = absl::Milliseconds(200);
+inline constexpr absl::Duration kPollWait = absl::Milliseconds(200);
 
 // Without an answer for this long a second look goes beside the long one, so
 // that a single lost answer does not end what runs.
-inline constexpr absl::Duration kLookDoubt = absl::Milliseconds(250);
+inline constexpr absl::Duration kPollOverdue = absl::Milliseconds(250);
 
 // Beyond the wait asked for, after which a call to the worker beside the agent
 // counts as unanswered. Such a call takes about 1 ms.
--- a/src/run_keeper.cc
+++ b/src/run_manager.cc
@@ -1,7 +1,7 @@
 // A run begins when an entry asks for it and ends, for the entry, with one
 // RunReport. Between the two the agent is the only one that calls its worker,
 // so what it knows (kept_run.h) is what is.
-#include "run_keeper.h"
+#include "run_manager.h"
 
 #include <algorithm>
 #include <set>
@@ -14,7 +14,7 @@
 #include "task_needs.h"
 
 namespace egretswitch::internal {
-RunKeeperActions RunKeeper::Handle(const RunKeeperEvent& event, Now now) {
+RunManagerActions RunManager::Handle(const RunManagerEvent& event, Now now) {
   m_now = now;
   std::visit([this](const auto& happened) { On(happened); }, event);
   EndRunsOfSilentWorker();
@@ -27,13 +27,13 @@
   return std::exchange(m_actions, {});
 }
 
-MonoTime RunKeeper::NextWake() const {
+MonoTime RunManager::NextWake() const {
   MonoTime wake = m_looks.NextDue(m_worker, NeedsOfLooks());
   if (m_entries.AnyWantsRoom()) {
     wake = std::min(wake, m_promises.NextLapse(m_now.mono));
   }
   for (const auto& [key, run] : m_runs) {
-    if (run.state != KeptRun::State::kStopping) {
+    if (run.state != ManagedRun::State::kStopping) {
       wake = std::min(wake, m_entries.SilentFrom(run.entry));
       wake = std::min(
           wake, run.MayCallAgain() ? run.next_call : absl::InfiniteDuration());
@@ -47,19 +47,19 @@
 // ---- Entries
 // ------------------------------------------------------------------
 
-void RunKeeper::On(const PeerUp& event) {
+void RunManager::On(const PeerUp& event) {
   if (!m_entries.LinkUp(event.name, event.incarnation)) {
     return;
   }
   for (auto& [key, run] : m_runs) {
-    if (run.entry == event.name && run.state != KeptRun::State::kStopping) {
+    if (run.entry == event.name && run.state != ManagedRun::State::kStopping) {
       m_counters.Add(RunCounter::kStoppedEntryReplaced);
       StopRun(key, run, "entry_replaced");
     }
   }
 }
 
-void RunKeeper::On(const PeerDown& event) {
+void RunManager::On(const PeerDown& event) {
   if (!m_entries.LinkDown(event.name, event.incarnation)) {
     return;
   }
@@ -72,7 +72,7 @@
   }
 }
 
-void RunKeeper::On(const PeerSaid& event) {
+void RunManager::On(const PeerSaid& event) {
   if (!m_entries.Knows(event.name, event.incarnation)) {
     return;
   }
@@ -90,8 +90,8 @@
 }
 
 // Of use only to a process that has not met its worker yet.
-void RunKeeper::HandleHint(const WorkerHint& hint) {
-  const bool idle = !m_worker.known() && !m_worker.candidate().has_value();
+void RunManager::HandleHint(const WorkerHint& hint) {
+  const bool idle = !m_worker.identified() && !m_worker.candidate().has_value();
   if (idle && m_worker.Announce(hint.worker) == AnnouncementOutcome::kLook) {
     m_actions.push_back(m_looks.TakeFirst(m_worker));
   }
@@ -100,7 +100,7 @@
 // An entry tells its state before its first order, so no order comes here ahead
 // of what its sender knows; and one that knows less than another entry did is
 // turned away.
-void RunKeeper::HandleEvacuations(const std::string& entry,
+void RunManager::HandleEvacuations(const std::string& entry,
                                   const Evacuations& told) {
   if (!IsNewer(told, m_evacuations)) {
     return;
@@ -116,7 +116,7 @@
   }
 }
 
-void RunKeeper::HandleStart(const std::string& entry, const StartRuns& start) {
+void RunManager::HandleStart(const std::string& entry, const StartRuns& start) {
   m_entries.StartedThrough(entry, start.sequence);
   m_entries.HeardFrom(entry, start.sent_at_ms);
   const std::optional<RunEnd> refusal = ReasonNotToStart(start);
@@ -138,13 +138,13 @@
 // Tasks that were lost in the same crash look alike to every entry. Under the
 // next crash they must not be together again, or a sound one is taken for the
 // one that crashes workers.
-bool RunKeeper::AnySuspect() const {
+bool RunManager::AnySuspect() const {
   return std::any_of(m_runs.begin(), m_runs.end(), [this](const auto& kept) {
     return kept.second.Suspect(m_now.mono);
   });
 }
 
-void RunKeeper::Refuse(const std::string& entry,
+void RunManager::Refuse(const std::string& entry,
                        const StartRuns& start,
                        const RunStart& wanted,
                        RunEnd end) {
@@ -154,10 +154,10 @@
                  .attempt = start.attempt});
 }
 
-std::optional<RunEnd> RunKeeper::ReasonNotToStart(
+std::optional<RunEnd> RunManager::ReasonNotToStart(
     const StartRuns& start) const {
   const absl::Duration age = m_now.mono - absl::Milliseconds(start.sent_at_ms);
-  if (!m_worker.known() || start.worker != m_worker.present().incarnation ||
+  if (!m_worker.identified() || start.worker != m_worker.present().incarnation ||
       age > kStartFreshness) {
     return RunEnd::kStale;
   }
@@ -170,7 +170,7 @@
   return std::nullopt;
 }
 
-void RunKeeper::BeginRun(const std::string& entry,
+void RunManager::BeginRun(const std::string& entry,
                          const StartRuns& start,
                          const RunStart& wanted) {
   const RunKey key{{start.job, start.step, wanted.index}, wanted.run};
@@ -179,7 +179,7 @@
     Refuse(entry, start, wanted, RunEnd::kOldNumber);
     return;
   }
-  KeptRun& run = m_runs[key];
+  ManagedRun& run = m_runs[key];
   run.entry = entry;
   run.attempt = start.attempt;
   run.needs = start.needs;
@@ -191,7 +191,7 @@
   CallStart(key, run);
 }
 
-void RunKeeper::CallStart(const RunKey& key, KeptRun& run) {
+void RunManager::CallStart(const RunKey& key, ManagedRun& run) {
   run.NoteCall(m_now.mono);
   m_actions.push_back(
       StartCall{.worker = m_worker.present().incarnation,
@@ -203,7 +203,7 @@
 
 // The worker does nothing for a run that is there or was there, so a start may
 // be sent again, and an earlier one that is carried out late does no harm.
-void RunKeeper::RepeatStarts() {
+void RunManager::RepeatStarts() {
   if (m_worker.superseded()) {
     return;  // the next life would begin what is about to be given up
   }
@@ -216,7 +216,7 @@
   }
 }
 
-void RunKeeper::HandleStop(const std::string& entry, const StopRuns& stop) {
+void RunManager::HandleStop(const std::string& entry, const StopRuns& stop) {
   const auto is_named = [&stop](const RunKey& key) {
     return std::any_of(
         stop.runs.begin(), stop.runs.end(), [&](const RunStart& run) {
@@ -228,14 +228,14 @@
        it != m_runs.end() && it->first.task.job == stop.job; ++it) {
     const bool meant = stop.runs.empty() || is_named(it->first);
     if (meant && it->second.entry == entry &&
-        it->second.state != KeptRun::State::kStopping) {
+        it->second.state != ManagedRun::State::kStopping) {
       m_counters.Add(RunCounter::kStoppedByEntry);
       StopRun(it->first, it->second, "entry_asked");
     }
   }
 }
 
-void RunKeeper::HandleRenew(const std::string& entry, const RenewRuns& renew) {
+void RunManager::HandleRenew(const std::string& entry, const RenewRuns& renew) {
   m_entries.HeardFrom(entry, renew.sent_at_ms);
   if (!renew.wanted.empty()) {
     m_entries.WantsRoom(entry, renew.wanted);
@@ -247,7 +247,7 @@
 // Nothing of a former link is handled once a new one is up. So an order that
 // has not arrived never will, and a run that is neither held nor remembered is
 // over or has never begun: "stopped" is true of both.
-void RunKeeper::ReportThoseNotHeld(const std::string& entry,
+void RunManager::ReportThoseNotHeld(const std::string& entry,
                                    const std::vector<OrderedRun>& ordered) {
   for (const OrderedRun& run : ordered) {
     const auto held = m_runs.find({run.task, run.run});
@@ -265,9 +265,9 @@
   }
 }
 
-void RunKeeper::StopRunsOfSilentEntries() {
+void RunManager::StopRunsOfSilentEntries() {
   for (auto& [key, run] : m_runs) {
-    if (run.state != KeptRun::State::kStopping &&
+    if (run.state != ManagedRun::State::kStopping &&
         m_now.mono >= m_entries.SilentFrom(run.entry)) {
       m_counters.Add(RunCounter::kStoppedEntrySilent);
       StopRun(key, run, "entry_silent");
@@ -278,8 +278,8 @@
 // ---- What the entries are told
 // ------------------------------------------------------
 
-TaskNeeds RunKeeper::FreeNeeds() const {
-  if (!m_worker.known()) {
+TaskNeeds RunManager::FreeNeeds() const {
+  if (!m_worker.identified()) {
     return {};
   }
   TaskNeeds free = m_worker.present().capacity;
@@ -289,21 +289,21 @@
   return free;
 }
 
-TaskNeeds RunKeeper::FreeFor(const std::string& entry) const {
+TaskNeeds RunManager::FreeFor(const std::string& entry) const {
   TaskNeeds free = FreeNeeds();
   Subtract(free, m_promises.KeptFrom(entry, m_now.mono));
   return free;
 }
 
-bool RunKeeper::Accepting() const {
-  return m_worker.known() && !m_worker.superseded() &&
+bool RunManager::Accepting() const {
+  return m_worker.identified() && !m_worker.superseded() &&
          !m_worker.present().leaving && !m_draining && !Evacuated() &&
          !m_worker.Silent(m_now.mono) && !m_worker.away();
 }
 
-WorkerStatus RunKeeper::Status() const {
+WorkerStatus RunManager::Status() const {
   WorkerStatus status;
-  if (m_worker.known()) {
+  if (m_worker.identified()) {
     status.worker = m_worker.present().incarnation;
     status.service = m_worker.present().service;
     status.kind = m_worker.present().kind;
@@ -314,7 +314,7 @@
   return status;
 }
 
-void RunKeeper::TellEveryone() {
+void RunManager::TellEveryone() {
   m_accepting_told = Accepting();
   m_entries.TellEveryone();
 }
@@ -322,7 +322,7 @@
 // An entry that waits for room hears of it from the ends of its own runs, and
 // an entry without runs here from nobody else: it is told as soon as there is
 // some.
-void RunKeeper::NoticeRoom() {
+void RunManager::NoticeRoom() {
   if (Accepting()) {
     TaskNeeds free = FreeNeeds();
     Subtract(free, m_promises.KeptFrom("", m_now.mono));
@@ -330,7 +330,7 @@
   }
 }
 
-void RunKeeper::FlushReports() {
+void RunManager::FlushReports() {
   const auto free_for = [this](const std::string& entry) {
     return FreeFor(entry);
   };
@@ -340,18 +340,18 @@
   }
 }
 
-void RunKeeper::On(const TimePassed&) {
+void RunManager::On(const TimePassed&) {
   StopRunsOfSilentEntries();
   RepeatStarts();
   RepeatStops();
 }
 
-void RunKeeper::On(const DrainBegan&) {
+void RunManager::On(const DrainBegan&) {
   m_draining = true;
   Log("drain began", {{"runs", absl::StrCat(m_runs.size())}});
 }
 
-void RunKeeper::Log(std::string_view what, std::vector<NoteField> fields) {
+void RunManager::Log(std::string_view what, std::vector<NoteField> fields) {
   m_actions.push_back(NoteStateChange{std::string(what), std::move(fields)});
 }
 
--- a/src/run_keeper.h
+++ b/src/run_manager.h
@@ -2,10 +2,10 @@
 // the entries are told of it. No I/O; the shell carries out the actions.
 //
 //   PeerSaid{entry-1, StartRuns{...}}     -> StartCall
-//   LookAnswered{ended: run done}         -> SendRunMessage{entry-1,
+//   PollAnswered{ended: run done}         -> SendRunMessage{entry-1,
 //   RunReports} nothing of entry-1 for kEntrySilence  -> StopCall
-#ifndef EGRETSWITCH_SRC_RUN_KEEPER_H_
-#define EGRETSWITCH_SRC_RUN_KEEPER_H_
+#ifndef EGRETSWITCH_SRC_RUN_MANAGER_H_
+#define EGRETSWITCH_SRC_RUN_MANAGER_H_
 
 #include <cstdint>
 #include <map>
@@ -17,23 +17,23 @@
 
 #include "clock.h"
 #include "entry_contacts.h"
-#include "kept_run.h"
+#include "managed_run.h"
 #include "recent_ends.h"
 #include "room_promises.h"
 #include "run_counters.h"
 #include "run_events.h"
-#include "watched_worker.h"
-#include "worker_looks.h"
+#include "worker_state.h"
+#include "worker_poller.h"
 
 namespace egretswitch::internal {
 
-class RunKeeper {
+class RunManager {
  public:
   // `data_centre` is the worker's.
-  explicit RunKeeper(std::string data_centre = "")
+  explicit RunManager(std::string data_centre = "")
       : m_data_centre(std::move(data_centre)) {}
 
-  RunKeeperActions Handle(const RunKeeperEvent& event, Now now);
+  RunManagerActions Handle(const RunManagerEvent& event, Now now);
 
   // When TimePassed is next due; infinite: nothing waits for time to pass.
   MonoTime NextWake() const;
@@ -46,10 +46,10 @@
 
   const RunCounters& counters() const { return m_counters; }
   size_t runs() const { return m_runs.size(); }
-  const WatchedWorker& worker() const { return m_worker; }
+  const WorkerState& worker() const { return m_worker; }
 
  private:
-  using Runs = std::map<RunKey, KeptRun>;
+  using Runs = std::map<RunKey, ManagedRun>;
 
   void On(const PeerUp& event);
   void On(const PeerDown& event);
@@ -60,7 +60,7 @@
   void On(const WorkerWithdrew& event);
   void On(const StartAnswered& event);
   void On(const StopAnswered& event);
-  void On(const LookAnswered& event);
+  void On(const PollAnswered& event);
 
   void HandleStart(const std::string& entry, const StartRuns& start);
   void HandleStop(const std::string& entry, const StopRuns& stop);
@@ -77,19 +77,19 @@
 
   void NoteContradiction(const WorkerAnnouncement& announcement);
   void NoteRoomChanged();
-  void HandleOtherWorker(const LookAnswered& event);
-  void AdoptWorker(const LookAnswered& event);
+  void HandleOtherWorker(const PollAnswered& event);
+  void AdoptWorker(const PollAnswered& event);
   void EndRunsNotListed(const std::vector<RunKey>& running,
                         const std::string& former,
                         bool crashed);
   void LoseWorker(RunEnd end, std::string_view why, bool crashed);
-  void HandleFencedLook(const LookAnswered& event);
-  void TakeEnds(const LookAnswer& answer);
-  void CheckAgainstList(const LookAnswered& event);
+  void HandleFencedLook(const PollAnswered& event);
+  void TakeEnds(const PollAnswer& answer);
+  void CheckAgainstList(const PollAnswered& event);
   void StopStrangers(const std::vector<RunKey>& running);
   void StopRunsOfSilentEntries();
-  void StopRun(const RunKey& key, KeptRun& run, std::string_view why);
-  void CallStart(const RunKey& key, KeptRun& run);
+  void StopRun(const RunKey& key, ManagedRun& run, std::string_view why);
+  void CallStart(const RunKey& key, ManagedRun& run);
   void RepeatStarts();
   void NoteAnswer(const std::string& worker, const CallAnswer& answer);
   void NoteAway();
@@ -107,7 +107,7 @@
 
   void EndRunsOfSilentWorker();
   void LookIfDue();
-  LookNeeds NeedsOfLooks() const;
+  PollNeeds NeedsOfLooks() const;
 
   TaskNeeds FreeNeeds() const;
   // Less what is promised to other entries.
@@ -120,10 +120,10 @@
   void Log(std::string_view what, std::vector<NoteField> fields);
 
   const std::string m_data_centre;
-  RunKeeperActions m_actions;
+  RunManagerActions m_actions;
   Now m_now;
-  WatchedWorker m_worker;
-  WorkerLooks m_looks;
+  WorkerState m_worker;
+  WorkerPoller m_looks;
   Runs m_runs;
   EntryContacts m_entries;
   RecentEnds m_recent_ends;
@@ -136,4 +136,4 @@
 
 }  // namespace egretswitch::internal
 
-#endif  // EGRETSWITCH_SRC_RUN_KEEPER_H_
+#endif  // EGRETSWITCH_SRC_RUN_MANAGER_H_
--- a/src/run_keeper_worker.cc
+++ b/src/run_manager_worker.cc
@@ -1,8 +1,8 @@
 // What an agent learns from its worker, by the worker's announcements and by
 // its answers to calls, and what that means for the runs it keeps.
 //
-//   LookAnswered{ended: 5c0e/0/0 done}  -> SendRunMessage{entry-1, RunReports}
-//   LookAnswered{other worker}          -> every run has ended as stopped
+//   PollAnswered{ended: 5c0e/0/0 done}  -> SendRunMessage{entry-1, RunReports}
+//   PollAnswered{other worker}          -> every run has ended as stopped
 #include <algorithm>
 #include <set>
 #include <string>
@@ -11,7 +11,7 @@
 
 #include "absl/strings/str_cat.h"
 #include "run_ends.h"
-#include "run_keeper.h"
+#include "run_manager.h"
 #include "run_limits.h"
 #include "worker_incarnation.h"
 
@@ -26,8 +26,8 @@
 
 }  // namespace
 
-void RunKeeper::On(const WorkerAnnounced& event) {
-  const bool was_leaving = m_worker.known() && m_worker.present().leaving;
+void RunManager::On(const WorkerAnnounced& event) {
+  const bool was_leaving = m_worker.identified() && m_worker.present().leaving;
   switch (m_worker.Announce(event.announcement)) {
     case AnnouncementOutcome::kNothingNew:
       break;
@@ -40,13 +40,13 @@
     case AnnouncementOutcome::kContradicts:
       NoteContradiction(event.announcement);
   }
-  if (m_worker.known() && m_worker.present().leaving && !was_leaving) {
+  if (m_worker.identified() && m_worker.present().leaving && !was_leaving) {
     Log("worker leaves", {{"worker", m_worker.present().incarnation},
                           {"runs", absl::StrCat(m_runs.size())}});
   }
 }
 
-void RunKeeper::NoteRoomChanged() {
+void RunManager::NoteRoomChanged() {
   const TaskNeeds& capacity = m_worker.present().capacity;
   const TaskNeeds free = FreeNeeds();
   Log("worker's room changed",
@@ -59,7 +59,7 @@
   TellEveryone();
 }
 
-void RunKeeper::NoteContradiction(const WorkerAnnouncement& announcement) {
+void RunManager::NoteContradiction(const WorkerAnnouncement& announcement) {
   m_counters.Add(RunCounter::kReportsUnreadable);
   m_actions.push_back(
       NoteStateChange{"worker's report contradicts earlier ones",
@@ -70,18 +70,18 @@
                       true});
 }
 
-void RunKeeper::On(const WorkerWithdrew& event) {
+void RunManager::On(const WorkerWithdrew& event) {
   if (m_worker.MayHaveWithdrawn(event.worker_id)) {
     LoseWorker(RunEnd::kStopped, "withdrew", false);
   }
   m_worker.Forget(event.worker_id);
 }
 
-void RunKeeper::AdoptWorker(const LookAnswered& event) {
+void RunManager::AdoptWorker(const PollAnswered& event) {
   const std::string& incarnation = event.call.worker;
   const std::string former =
-      m_worker.known() ? m_worker.present().incarnation : "none";
-  const bool crashed = m_worker.known() && !m_worker.present().leaving;
+      m_worker.identified() ? m_worker.present().incarnation : "none";
+  const bool crashed = m_worker.identified() && !m_worker.present().leaving;
   if (!m_worker.HeardFrom(incarnation, event.answer.call, m_now.mono)) {
     return;
   }
@@ -99,7 +99,7 @@
 // What ran on the former worker is over. A call that was meant for a former
 // life of this one may have been carried out by it, though: what it lists it
 // runs, and a call that comes later is fenced by the token of the look.
-void RunKeeper::EndRunsNotListed(const std::vector<RunKey>& running,
+void RunManager::EndRunsNotListed(const std::vector<RunKey>& running,
                                  const std::string& former,
                                  bool crashed) {
   const std::set<RunKey> listed(running.begin(), running.end());
@@ -112,7 +112,7 @@
   }
 }
 
-void RunKeeper::LoseWorker(RunEnd end, std::string_view why, bool crashed) {
+void RunManager::LoseWorker(RunEnd end, std::string_view why, bool crashed) {
   m_counters.Add(RunCounter::kWorkersLost);
   Log("worker lost", {{"worker", m_worker.present().incarnation},
                       {"why", std::string(why)},
@@ -127,9 +127,9 @@
 // A connection that was refused says as little of the worker's health as
 // silence: taken for an answer, it would keep new work coming to a worker that
 // is gone.
-void RunKeeper::NoteAnswer(const std::string& worker,
+void RunManager::NoteAnswer(const std::string& worker,
                            const CallAnswer& answer) {
-  if (!m_worker.known() || m_worker.present().incarnation != worker) {
+  if (!m_worker.identified() || m_worker.present().incarnation != worker) {
     return;
   }
   switch (answer.verdict) {
@@ -150,14 +150,14 @@
 }
 
 // The entries are told at once, since it is not accepting any more.
-void RunKeeper::NoteAway() {
+void RunManager::NoteAway() {
   if (m_worker.NoteAway()) {
     Log("worker away", {{"worker", m_worker.present().incarnation},
                         {"runs", absl::StrCat(m_runs.size())}});
   }
 }
 
-void RunKeeper::On(const StartAnswered& event) {
+void RunManager::On(const StartAnswered& event) {
   const CallVerdict verdict = event.answer.verdict;
   const bool begun =
       verdict == CallVerdict::kDone &&
@@ -171,23 +171,23 @@
   if (verdict == CallVerdict::kUnknown) {
     m_counters.Add(RunCounter::kStartsUnknown);
   }
-  KeptRun& run = it->second;
+  ManagedRun& run = it->second;
   switch (run.NoteStartAnswer(verdict, m_now.mono)) {
-    case KeptRun::StartOutcome::kRefused:
+    case ManagedRun::StartOutcome::kRefused:
       EndRun(it, EndOfRefusal(run.refusal), CallVerdictName(run.refusal));
       return;
-    case KeptRun::StartOutcome::kUnknown:
+    case ManagedRun::StartOutcome::kUnknown:
       Log("start unanswered", {{"task", TaskText(it->first.task)},
                                {"run", absl::StrCat(it->first.run)},
                                {"calls", absl::StrCat(run.calls)}});
       return;
-    case KeptRun::StartOutcome::kOpen:
-    case KeptRun::StartOutcome::kStarted:
+    case ManagedRun::StartOutcome::kOpen:
+    case ManagedRun::StartOutcome::kStarted:
       return;
   }
 }
 
-void RunKeeper::On(const StopAnswered& event) {
+void RunManager::On(const StopAnswered& event) {
   NoteAnswer(event.call.worker, event.answer);
   const auto it = m_runs.find(event.call.key);
   if (it != m_runs.end() && event.answer.verdict == CallVerdict::kDone) {
@@ -195,7 +195,7 @@
   }
 }
 
-void RunKeeper::On(const LookAnswered& event) {
+void RunManager::On(const PollAnswered& event) {
   const CallVerdict verdict = event.answer.call.verdict;
   m_looks.Answered(event.call, verdict, m_now.mono);
   if (verdict == CallVerdict::kOtherWorker) {
@@ -211,7 +211,7 @@
     return;
   }
   AdoptWorker(event);
-  if (m_worker.known() && m_worker.present().incarnation == event.call.worker) {
+  if (m_worker.identified() && m_worker.present().incarnation == event.call.worker) {
     TakeEnds(event.answer);
     CheckAgainstList(event);
     StopStrangers(event.answer.running);
@@ -220,10 +220,10 @@
 
 // A later life of the same worker may have begun what was meant for the former
 // one, so the runs are over only once it has been asked for what it runs.
-void RunKeeper::HandleOtherWorker(const LookAnswered& event) {
+void RunManager::HandleOtherWorker(const PollAnswered& event) {
   const CallAnswer& answer = event.answer.call;
   const std::string& called = event.call.worker;
-  if (IsFormerLife(called, answer.incarnation)) {
+  if (IsEarlierIncarnation(called, answer.incarnation)) {
     if (m_worker.NoteNewLife(called, answer.incarnation, answer.clock_ms)) {
       Log("worker started again", {{"worker", answer.incarnation},
                                    {"former", called},
@@ -232,17 +232,17 @@
     }
     return;
   }
-  if (IsFormerLife(answer.incarnation, called)) {
+  if (IsEarlierIncarnation(answer.incarnation, called)) {
     return;  // said before the present life began
   }
-  if (m_worker.known() && m_worker.present().incarnation == called) {
+  if (m_worker.identified() && m_worker.present().incarnation == called) {
     LoseWorker(RunEnd::kWorkerLost, "other_worker_answers",
                !m_worker.present().leaving);
   }
   m_worker.Forget(called);
 }
 
-void RunKeeper::HandleFencedLook(const LookAnswered& event) {
+void RunManager::HandleFencedLook(const PollAnswered& event) {
   if (m_worker.NoteFenced(event.call.worker, event.answer.call)) {
     m_actions.push_back(m_looks.TakeFirst(m_worker));
     return;
@@ -250,7 +250,7 @@
   m_worker.RaiseToken(m_now.mono);
 }
 
-void RunKeeper::TakeEnds(const LookAnswer& answer) {
+void RunManager::TakeEnds(const PollAnswer& answer) {
   for (const EndedRun& ended : m_looks.TakeNewEnds(answer)) {
     const auto it = m_runs.find(ended.key);
     if (it != m_runs.end()) {
@@ -263,23 +263,23 @@
 
 // Compares with the list of what runs those runs that the worker had been told
 // of before it was asked.
-void RunKeeper::CheckAgainstList(const LookAnswered& event) {
+void RunManager::CheckAgainstList(const PollAnswered& event) {
   const std::set<RunKey> listed(event.answer.running.begin(),
                                 event.answer.running.end());
   for (auto it = m_runs.begin(); it != m_runs.end();) {
     const auto current = it++;
-    KeptRun& run = current->second;
+    ManagedRun& run = current->second;
     const bool is_listed = listed.contains(current->first);
-    switch (run.NoteList(is_listed, event.asked_at, m_now.mono)) {
-      case KeptRun::ListOutcome::kKeep:
+    switch (run.NoteList(is_listed, event.requested_at, m_now.mono)) {
+      case ManagedRun::ListOutcome::kKeep:
         break;
-      case KeptRun::ListOutcome::kStop:
+      case ManagedRun::ListOutcome::kStop:
         StopRun(current->first, run, "start_unanswered");
         break;
-      case KeptRun::ListOutcome::kGone:
+      case ManagedRun::ListOutcome::kGone:
         EndRun(current, RunEnd::kStopped, "not_listed");
         break;
-      case KeptRun::ListOutcome::kStopped:
+      case ManagedRun::ListOutcome::kStopped:
         EndRun(current, RunEnd::kStopped, "stopped");
         break;
     }
@@ -288,7 +288,7 @@
 
 // What runs without being known here was started by a former agent process, or
 // by a call that was carried out late: no entry waits for its end.
-void RunKeeper::StopStrangers(const std::vector<RunKey>& running) {
+void RunManager::StopStrangers(const std::vector<RunKey>& running) {
   for (const RunKey& key : running) {
     if (!m_runs.contains(key)) {
       m_counters.Add(RunCounter::kStoppedStranger);
@@ -299,7 +299,7 @@
   }
 }
 
-void RunKeeper::StopRun(const RunKey& key, KeptRun& run, std::string_view why) {
+void RunManager::StopRun(const RunKey& key, ManagedRun& run, std::string_view why) {
   run.BeginStop(m_now.mono);
   Log("run stopped", {{"task", TaskText(key.task)},
                       {"run", absl::StrCat(key.run)},
@@ -308,15 +308,15 @@
   CallStop(key);
 }
 
-void RunKeeper::CallStop(const RunKey& key) {
+void RunManager::CallStop(const RunKey& key) {
   m_actions.push_back(StopCall{.worker = m_worker.present().incarnation,
                                .key = key,
                                .fencing_token = m_worker.fencing_token()});
 }
 
-void RunKeeper::RepeatStops() {
+void RunManager::RepeatStops() {
   for (auto& [key, run] : m_runs) {
-    if (run.state == KeptRun::State::kStopping && !run.stop_answered &&
+    if (run.state == ManagedRun::State::kStopping && !run.stop_answered &&
         m_now.mono >= run.next_stop) {
       run.next_stop = m_now.mono + kStopRetry;
       CallStop(key);
@@ -324,7 +324,7 @@
   }
 }
 
-void RunKeeper::EndRun(Runs::iterator run,
+void RunManager::EndRun(Runs::iterator run,
                        RunEnd end,
                        std::string_view why,
                        bool worker_crashed) {
@@ -355,7 +355,7 @@
   Report(entry, report);
 }
 
-void RunKeeper::Report(const std::string& entry, const RunReport& report) {
+void RunManager::Report(const std::string& entry, const RunReport& report) {
   m_counters.Add(CounterOf(report.end));
   m_recent_ends.Note(report, m_now.mono);
   m_entries.Report(entry, report);
@@ -364,7 +364,7 @@
 // ---- Looks
 // ------------------------------------------------------------------------
 
-LookNeeds RunKeeper::NeedsOfLooks() const {
+PollNeeds RunManager::NeedsOfLooks() const {
   const bool list =
       std::any_of(m_runs.begin(), m_runs.end(),
                   [](const auto& kept) { return kept.second.Doubtful(); });
@@ -373,16 +373,16 @@
 
 // What runs on a worker that has long been silent has ended by itself once its
 // lease is over: only then may the entries run it elsewhere.
-void RunKeeper::EndRunsOfSilentWorker() {
-  const bool over = m_worker.known() && m_worker.Silent(m_now.mono) &&
+void RunManager::EndRunsOfSilentWorker() {
+  const bool over = m_worker.identified() && m_worker.Silent(m_now.mono) &&
                     m_worker.CertainlyOver(m_now.mono);
   while (over && !m_runs.empty()) {
     EndRun(m_runs.begin(), RunEnd::kWorkerLost, "worker_silent");
   }
 }
 
-void RunKeeper::LookIfDue() {
-  for (const LookCall& call :
+void RunManager::LookIfDue() {
+  for (const PollCall& call :
        m_looks.TakeDue(m_worker, NeedsOfLooks(), m_now.mono)) {
     m_actions.push_back(call);
   }
--- a/src/step_agent_daemon.cc
+++ b/src/step_agent_daemon.cc
@@ -83,7 +83,7 @@
 
 void StepAgentDaemon::OnNews(const HttpRequest& request,
                              const Responder& responder) {
-  const std::optional<WorkerNews> news = m_platform.decode_news(request);
+  const std::optional<WorkerUpdates> news = m_platform.decode_updates(request);
   if (!news.has_value()) {
     responder.Answer(JsonError(kNotFound, "no such call"));
     return;
@@ -135,7 +135,7 @@
   text.AddGauge("runs", "Runs on the worker beside this agent.",
                 static_cast<double>(m_keeper.runs()));
   text.AddGauge("worker_known", "Whether the worker has been met.",
-                m_keeper.worker().known() ? 1 : 0);
+                m_keeper.worker().identified() ? 1 : 0);
   text.AddGauge("evacuated", "Whether the worker's data centre is evacuated.",
                 m_keeper.Evacuated() ? 1 : 0);
   for (size_t i = 0; i < static_cast<size_t>(RunCounter::kCount); ++i) {
@@ -151,10 +151,10 @@
   m_loop.RunAfter(kLongestDrain, [this] { m_loop.Stop(); });
 }
 
-void StepAgentDaemon::Deliver(const RunKeeperEvent& event) {
-  const RunKeeperActions actions =
+void StepAgentDaemon::Deliver(const RunManagerEvent& event) {
+  const RunManagerActions actions =
       m_keeper.Handle(event, EventLoop::ReadClocks());
-  for (const RunKeeperAction& action : actions) {
+  for (const RunManagerAction& action : actions) {
     std::visit([this](const auto& wanted) { Perform(wanted); }, action);
   }
   m_wake.Arm(m_keeper.NextWake());
@@ -169,7 +169,7 @@
 // The record of this process tells its successor of the worker: when it meets
 // another one, when the worker begins to leave, and when its room changes.
 void StepAgentDaemon::RecordWorker() {
-  if (!m_keeper.worker().known()) {
+  if (!m_keeper.worker().identified()) {
     return;
   }
   const WorkerAnnouncement& worker = m_keeper.worker().present();
@@ -197,11 +197,11 @@
   });
 }
 
-void StepAgentDaemon::Perform(const LookCall& call) {
-  const MonoTime asked_at = EventLoop::MonoNow();
-  m_platform.worker.Look(call,
-                         [this, call, asked_at](const LookAnswer& answer) {
-                           Deliver(LookAnswered{call, asked_at, answer});
+void StepAgentDaemon::Perform(const PollCall& call) {
+  const MonoTime requested_at = EventLoop::MonoNow();
+  m_platform.worker.Poll(call,
+                         [this, call, requested_at](const PollAnswer& answer) {
+                           Deliver(PollAnswered{call, requested_at, answer});
                          });
 }
 
--- a/src/step_agent_daemon.h
+++ b/src/step_agent_daemon.h
@@ -1,4 +1,4 @@
-// The shell around a RunKeeper: links to entries, the worker beside this
+// The shell around a RunManager: links to entries, the worker beside this
 // process, the store. Everything happens on the event loop's thread.
 //
 //   link: StartRuns -> PeerSaid -> keeper -> StartCall -> worker
@@ -16,7 +16,7 @@
 #include "keyed_store.h"
 #include "link_hub.h"
 #include "member_announcer.h"
-#include "run_keeper.h"
+#include "run_manager.h"
 #include "step_settings.h"
 #include "wake_timer.h"
 #include "worker_calls.h"
@@ -24,7 +24,7 @@
 namespace egretswitch::internal {
 
 // A worker's report of itself, or its word that it ends.
-struct WorkerNews {
+struct WorkerUpdates {
   std::string worker_id;
   bool withdrawn = false;
   absl::StatusOr<WorkerAnnouncement> announcement;
@@ -35,7 +35,7 @@
   WorkerCalls& worker;
   KeyedStore& store;
   // Nullopt for a request that is no news of a worker.
-  std::function<std::optional<WorkerNews>(const HttpRequest&)> decode_news;
+  std::function<std::optional<WorkerUpdates>(const HttpRequest&)> decode_updates;
 };
 
 class StepAgentDaemon {
@@ -61,11 +61,11 @@
   std::string Metrics() const;
 
   void RecordWorker();
-  void Deliver(const RunKeeperEvent& event);
+  void Deliver(const RunManagerEvent& event);
   void Perform(const SendRunMessage& send);
   void Perform(const StartCall& call);
   void Perform(const StopCall& call);
-  void Perform(const LookCall& call);
+  void Perform(const PollCall& call);
   void Perform(const NoteStateChange& change);
 
   EventLoop& m_loop;
@@ -74,7 +74,7 @@
   const AgentPlatform m_platform;
   const Hello m_self;
   LinkHub m_hub;
-  RunKeeper m_keeper;
+  RunManager m_keeper;
   RunCounters m_counters;  // of what never reached the keeper
   WakeTimer m_wake;
   MemberAnnouncer m_announcer;
--- a/src/worker_calls.h
+++ b/src/worker_calls.h
@@ -41,7 +41,7 @@
 };
 
 // Extends the lease, acknowledges ends, and asks for what runs and has ended.
-struct LookCall {
+struct PollCall {
   std::string worker;
   int64_t lease_until_ms = 0;  // 0: the lease stays as it is
   uint64_t fencing_token = 0;
@@ -82,7 +82,7 @@
   WorkerRunEnd end = WorkerRunEnd::kDone;
 };
 
-struct LookAnswer {
+struct PollAnswer {
   CallAnswer call;
   std::vector<RunKey> running;
   std::vector<EndedRun> ended;  // those not acknowledged, oldest first
@@ -93,12 +93,12 @@
 class WorkerCalls {
  public:
   using AnswerCallback = std::function<void(const CallAnswer&)>;
-  using LookCallback = std::function<void(const LookAnswer&)>;
+  using PollCallback = std::function<void(const PollAnswer&)>;
 
   virtual ~WorkerCalls() = default;
   virtual void Start(const StartCall& call, AnswerCallback done) = 0;
   virtual void Stop(const StopCall& call, AnswerCallback done) = 0;
-  virtual void Look(const LookCall& call, LookCallback done) = 0;
+  virtual void Poll(const PollCall& call, PollCallback done) = 0;
 };
 
 }  // namespace egretswitch::internal
--- a/src/worker_incarnation.cc
+++ b/src/worker_incarnation.cc
@@ -22,7 +22,7 @@
   return incarnation.substr(0, incarnation.find(kSeparator));
 }
 
-int64_t BirthOf(std::string_view incarnation) {
+int64_t StartTimeOf(std::string_view incarnation) {
   const size_t separator = incarnation.find(kSeparator);
   int64_t born_ms = 0;
   const bool told =
@@ -32,9 +32,9 @@
   return told ? born_ms : 0;
 }
 
-bool IsFormerLife(std::string_view left, std::string_view right) {
+bool IsEarlierIncarnation(std::string_view left, std::string_view right) {
   return WorkerIdOf(left) == WorkerIdOf(right) &&
-         BirthOf(left) < BirthOf(right);
+         StartTimeOf(left) < StartTimeOf(right);
 }
 
 bool IsWorkerId(std::string_view text) {
--- a/src/worker_incarnation.h
+++ b/src/worker_incarnation.h
@@ -2,7 +2,7 @@
 //
 //   IncarnationName("i-7", 1764750000123)  -> "i-7@1764750000123"
 //   WorkerIdOf("i-7@1764750000123")        -> "i-7"
-//   BirthOf("i-7@1764750000123")           -> 1764750000123
+//   StartTimeOf("i-7@1764750000123")           -> 1764750000123
 //
 // A worker may start again under the id that it had. Whoever compares names
 // then tells the two lives apart without knowing what they are made of.
@@ -21,10 +21,10 @@
 std::string_view WorkerIdOf(std::string_view incarnation);
 
 // 0: the incarnation tells none.
-int64_t BirthOf(std::string_view incarnation);
+int64_t StartTimeOf(std::string_view incarnation);
 
 // Whether `left` is an earlier life of the same worker than `right`.
-bool IsFormerLife(std::string_view left, std::string_view right);
+bool IsEarlierIncarnation(std::string_view left, std::string_view right);
 
 // Whether an id can be told from the birth that follows it in a name.
 bool IsWorkerId(std::string_view text);
--- a/src/worker_looks.cc
+++ b/src/worker_poller.cc
@@ -2,7 +2,7 @@
 // has long been silent gets no further lease: what runs there ends by itself,
 // and that moment can be told. One that is away is asked by quick looks alone:
 // the first answer tells that it is back, and a long look would wait with it.
-#include "worker_looks.h"
+#include "worker_poller.h"
 
 #include <algorithm>
 
@@ -26,52 +26,52 @@
 
 }  // namespace
 
-uint32_t& WorkerLooks::UnderWay(absl::Duration wait) {
+uint32_t& WorkerPoller::UnderWay(absl::Duration wait) {
   return wait > absl::ZeroDuration() ? m_long_looks : m_quick_looks;
 }
 
-uint32_t WorkerLooks::LongLooksWanted(MonoTime now) const {
+uint32_t WorkerPoller::LongLooksWanted(MonoTime now) const {
   return now < m_calls_lost_until ? 2 : 1;
 }
 
-void WorkerLooks::NoteLostCall(MonoTime now) {
+void WorkerPoller::NoteLostCall(MonoTime now) {
   m_calls_lost_until = now + kLossSpell;
 }
 
-LookCall WorkerLooks::Make(const WatchedWorker& worker,
+PollCall WorkerPoller::Make(const WorkerState& worker,
                            const std::string& incarnation,
                            absl::Duration wait) {
   ++UnderWay(wait);
   const bool present =
-      worker.known() && worker.present().incarnation == incarnation;
-  LookCall call;
+      worker.identified() && worker.present().incarnation == incarnation;
+  PollCall call;
   call.worker = incarnation;
   call.wait = wait;
   call.acknowledged = present ? m_acknowledged : 0;
   call.fencing_token = present ? worker.fencing_token()
-                               : WatchedWorker::FirstToken(*worker.candidate());
+                               : WorkerState::FirstToken(*worker.candidate());
   return call;
 }
 
-LookCall WorkerLooks::TakeFirst(const WatchedWorker& worker) {
+PollCall WorkerPoller::TakeFirst(const WorkerState& worker) {
   return Make(worker, worker.candidate()->incarnation, absl::ZeroDuration());
 }
 
-std::vector<LookCall> WorkerLooks::TakeDue(WatchedWorker& worker,
-                                           const LookNeeds& needs,
+std::vector<PollCall> WorkerPoller::TakeDue(WorkerState& worker,
+                                           const PollNeeds& needs,
                                            MonoTime now) {
-  std::vector<LookCall> due;
+  std::vector<PollCall> due;
   if (now < m_next_look) {
     return due;
   }
-  if (!worker.known() || worker.superseded()) {
+  if (!worker.identified() || worker.superseded()) {
     if (worker.candidate().has_value() && m_quick_looks == 0) {
       due.push_back(TakeFirst(worker));
     }
     return due;
   }
   const auto look = [&](absl::Duration wait) {
-    LookCall call = Make(worker, worker.present().incarnation, wait);
+    PollCall call = Make(worker, worker.present().incarnation, wait);
     call.lease_until_ms = worker.Silent(now) ? 0 : worker.ExtendLease(now);
     due.push_back(call);
   };
@@ -82,9 +82,9 @@
     return due;
   }
   while (m_long_looks < LongLooksWanted(now)) {
-    look(kLookWait);
+    look(kPollWait);
   }
-  const bool overdue = now - worker.last_heard() >= kLookDoubt;
+  const bool overdue = now - worker.last_heard() >= kPollOverdue;
   const bool in_doubt = m_quick_looks == 0 && (overdue || needs.list);
   if (in_doubt || now >= NextOfSpell(needs)) {
     look(absl::ZeroDuration());
@@ -93,7 +93,7 @@
   return due;
 }
 
-void WorkerLooks::Answered(const LookCall& call,
+void WorkerPoller::Answered(const PollCall& call,
                            CallVerdict verdict,
                            MonoTime now) {
   uint32_t& under_way = UnderWay(call.wait);
@@ -106,38 +106,38 @@
   }
 }
 
-MonoTime WorkerLooks::NextOfSpell(const LookNeeds& needs) const {
+MonoTime WorkerPoller::NextOfSpell(const PollNeeds& needs) const {
   const bool wanted = needs.runs && m_next_of_spell < m_calls_lost_until &&
                       m_quick_looks < kMostQuickLooks;
   return wanted ? m_next_of_spell : absl::InfiniteDuration();
 }
 
-MonoTime WorkerLooks::NextDue(const WatchedWorker& worker,
-                              const LookNeeds& needs) const {
-  const bool anyone = worker.known() || worker.candidate().has_value();
+MonoTime WorkerPoller::NextDue(const WorkerState& worker,
+                              const PollNeeds& needs) const {
+  const bool anyone = worker.identified() || worker.candidate().has_value();
   MonoTime due = absl::InfiniteDuration();
-  if (worker.superseded() || (worker.known() && worker.away())) {
+  if (worker.superseded() || (worker.identified() && worker.away())) {
     return m_quick_looks == 0 ? m_next_look : due;
   }
   if (anyone && m_long_looks == 0) {
     due = m_next_look;
   }
-  if (worker.known() && m_quick_looks == 0) {
+  if (worker.identified() && m_quick_looks == 0) {
     due =
-        std::min(due, std::max(m_next_look, worker.last_heard() + kLookDoubt));
+        std::min(due, std::max(m_next_look, worker.last_heard() + kPollOverdue));
   }
-  if (worker.known()) {
+  if (worker.identified()) {
     due = std::min(due, std::max(m_next_look, NextOfSpell(needs)));
   }
   return due;
 }
 
-void WorkerLooks::StartOver(MonoTime now) {
+void WorkerPoller::StartOver(MonoTime now) {
   m_acknowledged = 0;
   m_next_look = now;
 }
 
-std::vector<EndedRun> WorkerLooks::TakeNewEnds(const LookAnswer& answer) {
+std::vector<EndedRun> WorkerPoller::TakeNewEnds(const PollAnswer& answer) {
   std::vector<EndedRun> fresh;
   for (const EndedRun& ended : answer.ended) {
     if (ended.sequence > m_acknowledged) {
--- a/src/watched_worker.cc
+++ b/src/worker_state.cc
@@ -3,7 +3,7 @@
 // and starts anew with the next birth, so a later agent and a later life have
 // higher tokens, and a call of a predecessor that is carried out late does
 // nothing.
-#include "watched_worker.h"
+#include "worker_state.h"
 
 #include <algorithm>
 #include <utility>
@@ -20,7 +20,7 @@
 constexpr absl::Duration kStopMargin = absl::Milliseconds(100);
 
 uint64_t TokenAt(std::string_view incarnation, int64_t clock_ms) {
-  return static_cast<uint64_t>(BirthOf(incarnation) +
+  return static_cast<uint64_t>(StartTimeOf(incarnation) +
                                std::max<int64_t>(1, clock_ms));
 }
 
@@ -30,7 +30,7 @@
 // long as the incarnation, so a report that says otherwise is not its own. Its
 // capacity is what its latest report says. A worker that began to leave does
 // not come back, whatever the order in which its reports arrive.
-AnnouncementOutcome WatchedWorker::Announce(
+AnnouncementOutcome WorkerState::Announce(
     const WorkerAnnouncement& announcement) {
   if (!m_present.has_value() ||
       m_present->incarnation != announcement.incarnation) {
@@ -54,13 +54,13 @@
                                          : AnnouncementOutcome::kRoomChanged;
 }
 
-AnnouncementOutcome WatchedWorker::AnnounceOther(
+AnnouncementOutcome WorkerState::AnnounceOther(
     const WorkerAnnouncement& announcement) {
   const std::string& named = announcement.incarnation;
   const bool late =
-      (m_present.has_value() && IsFormerLife(named, m_present->incarnation)) ||
+      (m_present.has_value() && IsEarlierIncarnation(named, m_present->incarnation)) ||
       (m_candidate.has_value() &&
-       IsFormerLife(named, m_candidate->incarnation));
+       IsEarlierIncarnation(named, m_candidate->incarnation));
   if (late) {
     return AnnouncementOutcome::kNothingNew;
   }
@@ -71,10 +71,10 @@
 
 // Its room and kind may be others now: until its own announcement comes it has
 // no room to use.
-bool WatchedWorker::NoteNewLife(const std::string& called,
+bool WorkerState::NoteNewLife(const std::string& called,
                                 const std::string& answering,
                                 int64_t clock_ms) {
-  if (!IsFormerLife(called, answering)) {
+  if (!IsEarlierIncarnation(called, answering)) {
     return false;
   }
   const bool was_present =
@@ -83,7 +83,7 @@
       m_candidate.has_value() && m_candidate->incarnation == called;
   m_superseded = m_superseded || was_present;
   const bool known_already = m_candidate.has_value() &&
-                             !IsFormerLife(m_candidate->incarnation, answering);
+                             !IsEarlierIncarnation(m_candidate->incarnation, answering);
   if (known_already || !(was_present || was_candidate)) {
     return false;
   }
@@ -98,17 +98,17 @@
   return true;
 }
 
-bool WatchedWorker::MayHaveWithdrawn(const std::string& worker_id) const {
+bool WorkerState::MayHaveWithdrawn(const std::string& worker_id) const {
   const bool named =
       m_present.has_value() && WorkerIdOf(m_present->incarnation) == worker_id;
-  return named && (BirthOf(m_present->incarnation) == 0 || m_present->leaving);
+  return named && (StartTimeOf(m_present->incarnation) == 0 || m_present->leaving);
 }
 
-uint64_t WatchedWorker::FirstToken(const WorkerAnnouncement& announcement) {
+uint64_t WorkerState::FirstToken(const WorkerAnnouncement& announcement) {
   return TokenAt(announcement.incarnation, announcement.clock_ms);
 }
 
-bool WatchedWorker::HeardFrom(const std::string& incarnation,
+bool WorkerState::HeardFrom(const std::string& incarnation,
                               const CallAnswer& answer,
                               MonoTime now) {
   bool replaced = false;
@@ -138,21 +138,21 @@
 // Only lives that share an id may answer for each other. A worker's clock never
 // goes back, and starts anew with its next life; answers may overtake each
 // other.
-bool WatchedWorker::IsOfPresentLife(const std::string& incarnation,
+bool WorkerState::IsOfPresentLife(const std::string& incarnation,
                                     int64_t clock_ms) const {
   if (!m_present.has_value() || m_present->incarnation != incarnation) {
     return false;
   }
   const int64_t overtaken_by =
-      absl::ToInt64Milliseconds(kLookWait + kWorkerCallTimeout);
-  return BirthOf(incarnation) == 0 ||
+      absl::ToInt64Milliseconds(kPollWait + kWorkerCallTimeout);
+  return StartTimeOf(incarnation) == 0 ||
          (!m_superseded && clock_ms > m_highest_clock_ms - overtaken_by);
 }
 
 // A hint is as old as the former agent's first call to the worker, whose token
 // was therefore higher than what the hint gives. The answer tells the worker's
 // clock now, above every token that a former agent can have made of it.
-bool WatchedWorker::NoteFenced(const std::string& incarnation,
+bool WorkerState::NoteFenced(const std::string& incarnation,
                                const CallAnswer& answer) {
   const bool higher = m_candidate.has_value() &&
                       m_candidate->incarnation == incarnation &&
@@ -163,11 +163,11 @@
   return higher;
 }
 
-bool WatchedWorker::NoteAway() {
+bool WorkerState::NoteAway() {
   return !std::exchange(m_away, true);
 }
 
-void WatchedWorker::Forget(const std::string& incarnation) {
+void WorkerState::Forget(const std::string& incarnation) {
   if (m_present.has_value() && m_present->incarnation == incarnation) {
     m_present.reset();
     m_superseded = false;
@@ -177,25 +177,25 @@
   }
 }
 
-void WatchedWorker::RaiseToken(MonoTime now) {
+void WorkerState::RaiseToken(MonoTime now) {
   const int64_t clock = m_clock.Estimate(now).value_or(0);
   const uint64_t by_clock =
       m_present.has_value() ? TokenAt(m_present->incarnation, clock) : 0;
   m_fencing_token = std::max(m_fencing_token + 1, by_clock);
 }
 
-int64_t WatchedWorker::ExtendLease(MonoTime now) {
+int64_t WorkerState::ExtendLease(MonoTime now) {
   m_lease_asked_at = now;
   const int64_t clock = m_clock.Estimate(now).value_or(
       m_present.has_value() ? m_present->clock_ms : 0);
   return clock + absl::ToInt64Milliseconds(kWorkerLease);
 }
 
-bool WatchedWorker::CertainlyOver(MonoTime now) const {
+bool WorkerState::CertainlyOver(MonoTime now) const {
   return now - m_lease_asked_at > kWorkerLease / kSlowWorkerClock + kStopMargin;
 }
 
-bool WatchedWorker::Silent(MonoTime now) const {
+bool WorkerState::Silent(MonoTime now) const {
   return now - m_last_heard > kWorkerSilence;
 }
 
--- a/src/watched_worker.h
+++ b/src/worker_state.h
@@ -11,8 +11,8 @@
 // A worker that starts again under its id answers calls meant for its former
 // life. The first answer that tells so supersedes the present incarnation:
 // nothing new is begun, and the new life is looked at and then adopted.
-#ifndef EGRETSWITCH_SRC_WATCHED_WORKER_H_
-#define EGRETSWITCH_SRC_WATCHED_WORKER_H_
+#ifndef EGRETSWITCH_SRC_WORKER_STATE_H_
+#define EGRETSWITCH_SRC_WORKER_STATE_H_
 
 #include <cstdint>
 #include <optional>
@@ -33,7 +33,7 @@
                  // ignored
 };
 
-class WatchedWorker {
+class WorkerState {
  public:
   AnnouncementOutcome Announce(const WorkerAnnouncement& announcement);
 
@@ -72,7 +72,7 @@
   // The incarnation is over, or another one answers in its place.
   void Forget(const std::string& incarnation);
 
-  bool known() const { return m_present.has_value(); }
+  bool identified() const { return m_present.has_value(); }
   const WorkerAnnouncement& present() const { return *m_present; }
   // To be looked at; null: none.
   const std::optional<WorkerAnnouncement>& candidate() const {
@@ -114,4 +114,4 @@
 
 }  // namespace egretswitch::internal
 
-#endif  // EGRETSWITCH_SRC_WATCHED_WORKER_H_
+#endif  // EGRETSWITCH_SRC_WORKER_STATE_H_
--- a/test/fake_run_worker.cc
+++ b/test/fake_run_worker.cc
@@ -86,9 +86,9 @@
   return {verdict, ClockMs(now)};
 }
 
-LookAnswer FakeRunWorker::Look(const LookCall& call, VirtualUs now) {
+PollAnswer FakeRunWorker::Poll(const PollCall& call, VirtualUs now) {
   Advance(now);
-  LookAnswer answer;
+  PollAnswer answer;
   answer.call = {Check(call.worker, call.fencing_token), ClockMs(now)};
   if (answer.call.verdict != CallVerdict::kDone) {
     return answer;
@@ -99,7 +99,7 @@
   std::erase_if(m_ended, [&call](const EndedRun& ended) {
     return ended.sequence <= call.acknowledged;
   });
-  if (BirthOf(m_incarnation) != 0) {
+  if (StartTimeOf(m_incarnation) != 0) {
     answer.call.incarnation = m_incarnation;
     if (call.worker != m_incarnation) {
       answer.call.verdict = CallVerdict::kOtherWorker;
--- a/test/fake_run_worker.h
+++ b/test/fake_run_worker.h
@@ -35,7 +35,7 @@
                    int64_t work_ms,
                    const TaskNeeds& needs = kFakeTaskNeeds);
   CallAnswer Stop(const StopCall& call, VirtualUs now);
-  LookAnswer Look(const LookCall& call, VirtualUs now);
+  PollAnswer Poll(const PollCall& call, VirtualUs now);
   // Ends what is done or has lapsed by now. True when something ended.
   bool Advance(VirtualUs now);
 
--- a/test/refused_starts_test.cc
+++ b/test/refused_starts_test.cc
@@ -7,7 +7,7 @@
 #include <vector>
 
 #include "job_dispatcher.h"
-#include "run_keeper_fixture.h"
+#include "run_manager_fixture.h"
 #include "run_world.h"
 
 namespace egretswitch::internal {
@@ -57,38 +57,38 @@
           .plans = SteadyJobs()};
 }
 
-struct RefusedStartsFixture : RunKeeperFixture {
+struct RefusedStartsFixture : RunManagerFixture {
   RefusedStartsFixture() {
     Do(PeerUp{"entry-1", 7});
-    look = OnlyLook(MeetWorker("i-1"));
+    look = LastPoll(ConnectWorker("i-1"));
   }
 
   // The worker's answer to a new start.
-  RunKeeperActions TryToStart(CallVerdict verdict) {
-    const auto calls = ActionsOf<StartCall>(Say(Start(1, ++run)));
+  RunManagerActions TryToStart(CallVerdict verdict) {
+    const auto calls = ActionsOf<StartCall>(SendFromEntry(Start(1, ++run)));
     BOOST_REQUIRE(calls.size() == 1u);
     return Do(StartAnswered{calls[0], {verdict, 0}});
   }
 
   // What the entry is told last; not accepting when it is told nothing.
-  bool ToldAccepting(const RunKeeperActions& actions) {
+  bool ToldAccepting(const RunManagerActions& actions) {
     const auto told = SentTo<RunReports>("entry-1", actions);
     return !told.empty() && told.back().worker.accepting;
   }
 
-  bool ToldNotAccepting(const RunKeeperActions& actions) {
+  bool ToldNotAccepting(const RunManagerActions& actions) {
     const auto told = SentTo<RunReports>("entry-1", actions);
     return !told.empty() && !told.back().worker.accepting;
   }
 
-  LookCall look;
+  PollCall look;
   RunNumber run = 0;
 };
 
 BOOST_AUTO_TEST_SUITE(refused_starts)
 
 // Guards against tasks that are tried without a pause at workers that are down.
-BOOST_AUTO_TEST_CASE(tasks_while_all_workers_are_down_are_tried_rarely) {
+BOOST_AUTO_TEST_CASE(tasks_are_tried_rarely_while_all_workers_are_down) {
   for (uint64_t seed = 1; seed <= 10; ++seed) {
     RunWorld world(WorldOf(seed));
     CrashAll(world, Ms(3000), kRefusesFor);
@@ -100,7 +100,7 @@
 
 // Guards against jobs that fail or are turned away since their workers are
 // still avoided when these have been back for long.
-BOOST_AUTO_TEST_CASE(jobs_after_a_short_crash_of_all_workers_are_done) {
+BOOST_AUTO_TEST_CASE(jobs_complete_after_a_short_crash_of_all_workers) {
   for (uint64_t seed = 1; seed <= 10; ++seed) {
     RunWorld world(WorldOf(seed));
     CrashAll(world, Ms(3000), kRefusesFor);
@@ -118,8 +118,8 @@
 // Guards against refused connections that count as a word of the worker, so
 // that one that is down is never found to be.
 BOOST_AUTO_TEST_CASE(
-    worker_that_refuses_a_connection_is_told_as_not_accepting) {
-  const RunKeeperActions actions = TryToStart(CallVerdict::kUnreachable);
+    worker_that_refuses_a_connection_is_reported_as_not_accepting) {
+  const RunManagerActions actions = TryToStart(CallVerdict::kUnreachable);
   BOOST_TEST(ToldNotAccepting(actions));
   BOOST_REQUIRE(Reports(actions).size() == 1u);
   BOOST_TEST((Reports(actions)[0].end == RunEnd::kUnreachable));
@@ -128,20 +128,20 @@
 
 // Guards against a worker that is back and left without work: the look that
 // finds it must not wait there for an end.
-BOOST_AUTO_TEST_CASE(worker_that_is_back_is_told_within_tens_of_milliseconds) {
-  RunKeeperActions actions = TryToStart(CallVerdict::kUnreachable);
-  const LookCall refused = OnlyLook(actions);
+BOOST_AUTO_TEST_CASE(recovered_worker_is_reported_within_tens_of_milliseconds) {
+  RunManagerActions actions = TryToStart(CallVerdict::kUnreachable);
+  const PollCall refused = LastPoll(actions);
   BOOST_TEST((refused.wait == absl::ZeroDuration()));
-  AnswerLook(refused, {}, {}, CallVerdict::kUnreachable);
-  const LookCall next = OnlyLook(Pass(absl::Milliseconds(50)));
+  AnswerPoll(refused, {}, {}, CallVerdict::kUnreachable);
+  const PollCall next = LastPoll(Pass(absl::Milliseconds(50)));
   BOOST_TEST((next.wait == absl::ZeroDuration()));
-  BOOST_TEST(ToldAccepting(AnswerLook(next, {}, {})));
+  BOOST_TEST(ToldAccepting(AnswerPoll(next, {}, {})));
 }
 
 // Guards against runs that never end since starts are refused: what ran on a
 // worker that is down is lost once its lease is certainly over.
 BOOST_AUTO_TEST_CASE(run_on_a_worker_that_refuses_connections_ends_as_lost) {
-  const auto calls = ActionsOf<StartCall>(Say(Start(1, ++run)));
+  const auto calls = ActionsOf<StartCall>(SendFromEntry(Start(1, ++run)));
   Do(StartAnswered{calls[0], Answer()});
   StartCall other = calls[0];
   other.key.task.job = "7d1f";
--- a/test/run_loss_test.cc
+++ b/test/run_loss_test.cc
@@ -4,7 +4,7 @@
 #include <string>
 #include <vector>
 
-#include "run_keeper_fixture.h"
+#include "run_manager_fixture.h"
 #include "worker_incarnation.h"
 
 namespace egretswitch::internal {
@@ -14,14 +14,14 @@
 const std::string kSecondLife = IncarnationName("i-1", 1'764'750'200'000);
 constexpr int64_t kFirstClock = 5000;
 
-struct RunLossFixture : RunKeeperFixture {
+struct RunLossFixture : RunManagerFixture {
   // The worker of `incarnation` is there, and is told to start task 0.
   StartCall OrderOneTask(const std::string& incarnation) {
     Do(PeerUp{"entry-1", 7});
-    look = OnlyLook(MeetWorker(incarnation));
+    look = LastPoll(ConnectWorker(incarnation));
     StartRuns start = Start(1);
     start.worker = incarnation;
-    const auto calls = ActionsOf<StartCall>(Say(start));
+    const auto calls = ActionsOf<StartCall>(SendFromEntry(start));
     BOOST_REQUIRE(calls.size() == 1u);
     return calls[0];
   }
@@ -29,15 +29,15 @@
   // Another worker announces itself and answers in place of the present one.
   RunReport LossBy(const std::string& incarnation) {
     const auto looks =
-        ActionsOf<LookCall>(Do(WorkerAnnounced{Announcement(incarnation)}));
+        ActionsOf<PollCall>(Do(WorkerAnnounced{Announcement(incarnation)}));
     BOOST_REQUIRE(looks.size() == 1u);
-    const auto reports = Reports(AnswerLook(looks[0], {}, {}));
+    const auto reports = Reports(AnswerPoll(looks[0], {}, {}));
     BOOST_REQUIRE(reports.size() == 1u);
     BOOST_TEST((reports[0].end == RunEnd::kWorkerLost));
     return reports[0];
   }
 
-  LookCall look;
+  PollCall look;
 };
 
 BOOST_FIXTURE_TEST_SUITE(run_loss, RunLossFixture)
@@ -76,7 +76,7 @@
   const StartCall call = OrderOneTask(kFirstLife);
   const int64_t sent_at = Answer().clock_ms;
   clock.Advance(absl::Milliseconds(100));
-  AnswerLook(look, {}, {});
+  AnswerPoll(look, {}, {});
   Do(StartAnswered{call, {CallVerdict::kDone, sent_at}});
   BOOST_TEST((LossBy(kSecondLife).loss == RunLoss::kWorkerCrashed));
 }
@@ -87,7 +87,7 @@
   OrderOneTask("i-1");
   clock.Advance(absl::Milliseconds(60));
   const auto reports =
-      Reports(AnswerLook(look, {}, {{1, Key(0), WorkerRunEnd::kDone}}));
+      Reports(AnswerPoll(look, {}, {{1, Key(0), WorkerRunEnd::kDone}}));
   BOOST_REQUIRE(reports.size() == 1u);
   BOOST_TEST((reports[0].end == RunEnd::kDone));
   BOOST_TEST(reports[0].run_ms == 60u);
--- a/test/run_keeper_fixture.h
+++ b/test/run_manager_fixture.h
@@ -1,9 +1,9 @@
 // An agent's decisions with an entry and a worker that the test plays.
 //
-//   LookCall look = RunOneTask();              // i-1 runs task 0 of job 5c0e
-//   Reports(AnswerLook(look, {}, {{1, Key(0), WorkerRunEnd::kDone}}))
-#ifndef EGRETSWITCH_TEST_RUN_KEEPER_FIXTURE_H_
-#define EGRETSWITCH_TEST_RUN_KEEPER_FIXTURE_H_
+//   PollCall look = RunOneTask();              // i-1 runs task 0 of job 5c0e
+//   Reports(AnswerPoll(look, {}, {{1, Key(0), WorkerRunEnd::kDone}}))
+#ifndef EGRETSWITCH_TEST_RUN_MANAGER_FIXTURE_H_
+#define EGRETSWITCH_TEST_RUN_MANAGER_FIXTURE_H_
 
 #include <boost/test/unit_test.hpp>
 #include <string>
@@ -11,17 +11,17 @@
 #include <vector>
 
 #include "run_fixture.h"
-#include "run_keeper.h"
+#include "run_manager.h"
 #include "run_limits.h"
 
 namespace egretswitch::internal {
 
-struct RunKeeperFixture {
-  RunKeeperActions Do(const RunKeeperEvent& event) {
-    return keeper.Handle(event, clock.now());
+struct RunManagerFixture {
+  RunManagerActions Do(const RunManagerEvent& event) {
+    return manager.Handle(event, clock.now());
   }
 
-  RunKeeperActions Pass(absl::Duration by) {
+  RunManagerActions Pass(absl::Duration by) {
     clock.Advance(by);
     return Do(TimePassed{});
   }
@@ -42,25 +42,25 @@
   }
 
   // The worker `incarnation` announces itself and answers the look.
-  RunKeeperActions MeetWorker(const std::string& incarnation) {
+  RunManagerActions ConnectWorker(const std::string& incarnation) {
     const auto looks =
-        ActionsOf<LookCall>(Do(WorkerAnnounced{Announcement(incarnation)}));
+        ActionsOf<PollCall>(Do(WorkerAnnounced{Announcement(incarnation)}));
     BOOST_REQUIRE(looks.size() == 1u);
-    return AnswerLook(looks[0], {}, {});
+    return AnswerPoll(looks[0], {}, {});
   }
 
-  RunKeeperActions AnswerLook(const LookCall& look,
+  RunManagerActions AnswerPoll(const PollCall& look,
                               std::vector<RunKey> running,
                               std::vector<EndedRun> ended,
                               CallVerdict verdict = CallVerdict::kDone) {
-    return Do(LookAnswered{
+    return Do(PollAnswered{
         look, clock.now().mono,
-        LookAnswer{Answer(verdict), std::move(running), std::move(ended)}});
+        PollAnswer{Answer(verdict), std::move(running), std::move(ended)}});
   }
 
   // A look that the keeper sends now, or sent in `actions`.
-  static LookCall OnlyLook(const RunKeeperActions& actions) {
-    const auto looks = ActionsOf<LookCall>(actions);
+  static PollCall LastPoll(const RunManagerActions& actions) {
+    const auto looks = ActionsOf<PollCall>(actions);
     BOOST_REQUIRE(!looks.empty());
     return looks.back();
   }
@@ -79,11 +79,11 @@
     return start;
   }
 
-  RunKeeperActions Say(const RunMessageBody& body) {
+  RunManagerActions SendFromEntry(const RunMessageBody& body) {
     return Do(PeerSaid{"entry-1", 7, body});
   }
 
-  std::vector<RunReport> Reports(const RunKeeperActions& actions) {
+  std::vector<RunReport> Reports(const RunManagerActions& actions) {
     std::vector<RunReport> reports;
     for (const RunReports& sent : SentTo<RunReports>("entry-1", actions)) {
       reports.insert(reports.end(), sent.reports.begin(), sent.reports.end());
@@ -96,21 +96,21 @@
   }
 
   // An entry and a worker are there; one task runs.
-  LookCall RunOneTask() {
+  PollCall RunOneTask() {
     Do(PeerUp{"entry-1", 7});
-    const LookCall look = OnlyLook(MeetWorker("i-1"));
-    const auto calls = ActionsOf<StartCall>(Say(Start(1)));
+    const PollCall look = LastPoll(ConnectWorker("i-1"));
+    const auto calls = ActionsOf<StartCall>(SendFromEntry(Start(1)));
     BOOST_REQUIRE(calls.size() == 1u);
     Do(StartAnswered{calls[0], Answer()});
     return look;
   }
 
   VirtualClock clock;
-  RunKeeper keeper;
+  RunManager manager;
   uint64_t sequence = 0;
   uint64_t starts = 0;
 };
 
 }  // namespace egretswitch::internal
 
-#endif  // EGRETSWITCH_TEST_RUN_KEEPER_FIXTURE_H_
+#endif  // EGRETSWITCH_TEST_RUN_MANAGER_FIXTURE_H_
--- a/test/run_keeper_test.cc
+++ b/test/run_manager_test.cc
@@ -1,22 +1,22 @@
 // What an agent does with the orders of entries and the answers of its worker.
-#include "run_keeper.h"
+#include "run_manager.h"
 
 #include <boost/test/unit_test.hpp>
 #include <string>
 #include <vector>
 
-#include "run_keeper_fixture.h"
+#include "run_manager_fixture.h"
 #include "run_limits.h"
 
 namespace egretswitch::internal {
 namespace {
 
-BOOST_FIXTURE_TEST_SUITE(run_keeper, RunKeeperFixture)
+BOOST_FIXTURE_TEST_SUITE(run_manager, RunManagerFixture)
 
-BOOST_AUTO_TEST_CASE(start_worker_with_room_is_passed_on_under_a_lease) {
+BOOST_AUTO_TEST_CASE(start_within_capacity_is_passed_on_under_a_lease) {
   Do(PeerUp{"entry-1", 7});
-  MeetWorker("i-1");
-  const auto calls = ActionsOf<StartCall>(Say(Start(2)));
+  ConnectWorker("i-1");
+  const auto calls = ActionsOf<StartCall>(SendFromEntry(Start(2)));
   BOOST_REQUIRE(calls.size() == 2u);
   BOOST_TEST(calls[0].worker == "i-1");
   BOOST_TEST((calls[0].key == Key(0)));
@@ -28,8 +28,8 @@
 
 BOOST_AUTO_TEST_CASE(start_beyond_capacity_is_reported_as_no_room) {
   Do(PeerUp{"entry-1", 7});
-  MeetWorker("i-1");
-  const RunKeeperActions actions = Say(Start(11));
+  ConnectWorker("i-1");
+  const RunManagerActions actions = SendFromEntry(Start(11));
   BOOST_TEST(ActionsOf<StartCall>(actions).size() == 10u);
   const auto reports = Reports(actions);
   BOOST_REQUIRE(reports.size() == 1u);
@@ -40,7 +40,7 @@
   RunOneTask();
   StartRuns second = Start(1);
   second.attempt = 2;
-  const RunKeeperActions actions = Say(second);
+  const RunManagerActions actions = SendFromEntry(second);
   BOOST_TEST(ActionsOf<StartCall>(actions).empty());
   const auto reports = Reports(actions);
   BOOST_REQUIRE(reports.size() == 1u);
@@ -50,10 +50,10 @@
 
 BOOST_AUTO_TEST_CASE(start_order_older_than_freshness_does_nothing) {
   Do(PeerUp{"entry-1", 7});
-  MeetWorker("i-1");
+  ConnectWorker("i-1");
   const StartRuns start = Start(1);
   clock.Advance(kStartFreshness + absl::Milliseconds(1));
-  const RunKeeperActions actions = Say(start);
+  const RunManagerActions actions = SendFromEntry(start);
   BOOST_TEST(ActionsOf<StartCall>(actions).empty());
   BOOST_REQUIRE(Reports(actions).size() == 1u);
   BOOST_TEST((Reports(actions)[0].end == RunEnd::kStale));
@@ -61,125 +61,125 @@
 
 BOOST_AUTO_TEST_CASE(start_meant_for_a_former_worker_does_nothing) {
   Do(PeerUp{"entry-1", 7});
-  MeetWorker("i-2");
-  const RunKeeperActions actions = Say(Start(1));
+  ConnectWorker("i-2");
+  const RunManagerActions actions = SendFromEntry(Start(1));
   BOOST_TEST(ActionsOf<StartCall>(actions).empty());
   BOOST_TEST((Reports(actions)[0].end == RunEnd::kStale));
 }
 
 BOOST_AUTO_TEST_CASE(start_leaving_worker_is_reported_as_leaving) {
   Do(PeerUp{"entry-1", 7});
-  MeetWorker("i-1");
+  ConnectWorker("i-1");
   WorkerAnnouncement leaving = Announcement("i-1");
   leaving.leaving = true;
   const auto told = SentTo<RunReports>("entry-1", Do(WorkerAnnounced{leaving}));
   BOOST_REQUIRE(told.size() == 1u);
   BOOST_TEST(!told[0].worker.accepting);
-  const RunKeeperActions actions = Say(Start(1));
+  const RunManagerActions actions = SendFromEntry(Start(1));
   BOOST_TEST(ActionsOf<StartCall>(actions).empty());
   BOOST_TEST((Reports(actions)[0].end == RunEnd::kLeaving));
 }
 
 BOOST_AUTO_TEST_CASE(announcement_older_than_leaving_does_not_undo_it) {
   Do(PeerUp{"entry-1", 7});
-  MeetWorker("i-1");
+  ConnectWorker("i-1");
   const WorkerAnnouncement before = Announcement("i-1");
   WorkerAnnouncement leaving = Announcement("i-1");
   leaving.leaving = true;
   Do(WorkerAnnounced{leaving});
   Do(WorkerAnnounced{before});
-  BOOST_TEST(ActionsOf<StartCall>(Say(Start(1))).empty());
+  BOOST_TEST(ActionsOf<StartCall>(SendFromEntry(Start(1))).empty());
 }
 
-BOOST_AUTO_TEST_CASE(announcement_of_a_former_worker_is_not_believed) {
+BOOST_AUTO_TEST_CASE(announcement_of_a_former_worker_is_not_adopted) {
   Do(PeerUp{"entry-1", 7});
-  MeetWorker("i-1");
+  ConnectWorker("i-1");
   const auto looks =
-      ActionsOf<LookCall>(Do(WorkerAnnounced{Announcement("i-0")}));
+      ActionsOf<PollCall>(Do(WorkerAnnounced{Announcement("i-0")}));
   BOOST_REQUIRE(looks.size() == 1u);
-  AnswerLook(looks[0], {}, {}, CallVerdict::kOtherWorker);
-  BOOST_TEST(keeper.worker().present().incarnation == "i-1");
+  AnswerPoll(looks[0], {}, {}, CallVerdict::kOtherWorker);
+  BOOST_TEST(manager.worker().present().incarnation == "i-1");
 }
 
-BOOST_AUTO_TEST_CASE(hint_of_an_entry_is_believed_once_the_worker_answers) {
+BOOST_AUTO_TEST_CASE(hint_of_an_entry_is_adopted_once_the_worker_answers) {
   Do(PeerUp{"entry-1", 7});
-  const LookCall look = OnlyLook(Say(WorkerHint{Announcement("i-1")}));
-  BOOST_TEST(!keeper.worker().known());
-  AnswerLook(look, {}, {});
-  BOOST_TEST(keeper.worker().present().incarnation == "i-1");
-  BOOST_TEST(ActionsOf<StartCall>(Say(Start(1))).size() == 1u);
+  const PollCall look = LastPoll(SendFromEntry(WorkerHint{Announcement("i-1")}));
+  BOOST_TEST(!manager.worker().identified());
+  AnswerPoll(look, {}, {});
+  BOOST_TEST(manager.worker().present().incarnation == "i-1");
+  BOOST_TEST(ActionsOf<StartCall>(SendFromEntry(Start(1))).size() == 1u);
 }
 
 // The hint dates from when the former agent met the worker, so the token made
 // of it is below that agent's.
-BOOST_AUTO_TEST_CASE(hint_whose_token_is_too_low_is_tried_again_at_once) {
+BOOST_AUTO_TEST_CASE(hint_whose_token_is_too_low_is_retried_at_once) {
   Do(PeerUp{"entry-1", 7});
-  const LookCall look = OnlyLook(Say(WorkerHint{Announcement("i-1")}));
-  const LookCall again =
-      OnlyLook(AnswerLook(look, {}, {}, CallVerdict::kFenced));
+  const PollCall look = LastPoll(SendFromEntry(WorkerHint{Announcement("i-1")}));
+  const PollCall again =
+      LastPoll(AnswerPoll(look, {}, {}, CallVerdict::kFenced));
   BOOST_TEST(again.worker == "i-1");
   BOOST_TEST(again.fencing_token >= static_cast<uint64_t>(Answer().clock_ms));
-  AnswerLook(again, {}, {});
-  BOOST_TEST(ActionsOf<StartCall>(Say(Start(1))).size() == 1u);
+  AnswerPoll(again, {}, {});
+  BOOST_TEST(ActionsOf<StartCall>(SendFromEntry(Start(1))).size() == 1u);
 }
 
-BOOST_AUTO_TEST_CASE(hint_that_stays_fenced_is_not_tried_without_a_pause) {
+BOOST_AUTO_TEST_CASE(hint_that_stays_fenced_is_retried_after_a_pause) {
   Do(PeerUp{"entry-1", 7});
-  const LookCall look = OnlyLook(Say(WorkerHint{Announcement("i-1")}));
-  const LookCall again =
-      OnlyLook(AnswerLook(look, {}, {}, CallVerdict::kFenced));
+  const PollCall look = LastPoll(SendFromEntry(WorkerHint{Announcement("i-1")}));
+  const PollCall again =
+      LastPoll(AnswerPoll(look, {}, {}, CallVerdict::kFenced));
   BOOST_TEST(
-      ActionsOf<LookCall>(AnswerLook(again, {}, {}, CallVerdict::kFenced))
+      ActionsOf<PollCall>(AnswerPoll(again, {}, {}, CallVerdict::kFenced))
           .empty());
-  BOOST_TEST(!ActionsOf<LookCall>(Pass(absl::Milliseconds(60))).empty());
+  BOOST_TEST(!ActionsOf<PollCall>(Pass(absl::Milliseconds(60))).empty());
 }
 
 // Whoever wrote it, it must not take the worker away from its entries.
 BOOST_AUTO_TEST_CASE(
     report_with_another_service_of_the_worker_changes_nothing) {
   Do(PeerUp{"entry-1", 7});
-  MeetWorker("i-1");
+  ConnectWorker("i-1");
   WorkerAnnouncement other = Announcement("i-1");
   other.service = "elsewhere";
   other.sequence = 1u << 30;
   Do(WorkerAnnounced{other});
-  BOOST_TEST(keeper.worker().present().service == "desk");
-  BOOST_TEST(keeper.counters().Get(RunCounter::kReportsUnreadable) == 1u);
-  BOOST_TEST(ActionsOf<StartCall>(Say(Start(1))).size() == 1u);
+  BOOST_TEST(manager.worker().present().service == "desk");
+  BOOST_TEST(manager.counters().Get(RunCounter::kReportsUnreadable) == 1u);
+  BOOST_TEST(ActionsOf<StartCall>(SendFromEntry(Start(1))).size() == 1u);
 }
 
-BOOST_AUTO_TEST_CASE(report_that_the_worker_leaves_counts_out_of_order) {
+BOOST_AUTO_TEST_CASE(report_that_the_worker_leaves_is_applied_out_of_order) {
   Do(PeerUp{"entry-1", 7});
-  MeetWorker("i-1");
+  ConnectWorker("i-1");
   WorkerAnnouncement ahead = Announcement("i-1");
   ahead.sequence = 1u << 30;
   Do(WorkerAnnounced{ahead});
   WorkerAnnouncement leaving = Announcement("i-1");
   leaving.leaving = true;
   Do(WorkerAnnounced{leaving});
-  BOOST_TEST(ActionsOf<StartCall>(Say(Start(1))).empty());
+  BOOST_TEST(ActionsOf<StartCall>(SendFromEntry(Start(1))).empty());
 }
 
 BOOST_AUTO_TEST_CASE(hint_of_a_former_worker_is_dropped) {
   Do(PeerUp{"entry-1", 7});
-  const LookCall look = OnlyLook(Say(WorkerHint{Announcement("i-0")}));
-  AnswerLook(look, {}, {}, CallVerdict::kOtherWorker);
-  BOOST_TEST(!keeper.worker().known());
-  MeetWorker("i-1");
-  BOOST_TEST(ActionsOf<LookCall>(Say(WorkerHint{Announcement("i-0")})).empty());
+  const PollCall look = LastPoll(SendFromEntry(WorkerHint{Announcement("i-0")}));
+  AnswerPoll(look, {}, {}, CallVerdict::kOtherWorker);
+  BOOST_TEST(!manager.worker().identified());
+  ConnectWorker("i-1");
+  BOOST_TEST(ActionsOf<PollCall>(SendFromEntry(WorkerHint{Announcement("i-0")})).empty());
 }
 
 BOOST_AUTO_TEST_CASE(hint_of_a_leaving_worker_starts_nothing_on_it) {
   Do(PeerUp{"entry-1", 7});
   WorkerAnnouncement leaving = Announcement("i-1");
   leaving.leaving = true;
-  AnswerLook(OnlyLook(Say(WorkerHint{leaving})), {}, {});
-  BOOST_TEST(ActionsOf<StartCall>(Say(Start(1))).empty());
+  AnswerPoll(LastPoll(SendFromEntry(WorkerHint{leaving})), {}, {});
+  BOOST_TEST(ActionsOf<StartCall>(SendFromEntry(Start(1))).empty());
 }
 
-BOOST_AUTO_TEST_CASE(long_look_unanswered_is_doubled_by_a_quick_one) {
+BOOST_AUTO_TEST_CASE(overdue_long_poll_is_joined_by_a_short_one) {
   RunOneTask();
-  const auto quick = ActionsOf<LookCall>(Pass(kLookDoubt));
+  const auto quick = ActionsOf<PollCall>(Pass(kPollOverdue));
   BOOST_REQUIRE(quick.size() == 1u);
   BOOST_TEST((quick[0].wait == absl::ZeroDuration()));
   BOOST_TEST(quick[0].lease_until_ms > 0);
@@ -188,37 +188,37 @@
 BOOST_AUTO_TEST_CASE(worker_replaced_by_another_ends_its_runs) {
   RunOneTask();
   const auto looks =
-      ActionsOf<LookCall>(Do(WorkerAnnounced{Announcement("i-2")}));
-  const auto reports = Reports(AnswerLook(looks[0], {}, {}));
+      ActionsOf<PollCall>(Do(WorkerAnnounced{Announcement("i-2")}));
+  const auto reports = Reports(AnswerPoll(looks[0], {}, {}));
   BOOST_REQUIRE(reports.size() == 1u);
   BOOST_TEST((reports[0].end == RunEnd::kWorkerLost));
-  BOOST_TEST(keeper.worker().present().incarnation == "i-2");
+  BOOST_TEST(manager.worker().present().incarnation == "i-2");
 }
 
-BOOST_AUTO_TEST_CASE(end_listed_by_the_worker_is_reported_once_and_taken_note) {
-  const LookCall look = RunOneTask();
+BOOST_AUTO_TEST_CASE(end_listed_by_the_worker_is_reported_once_and_acknowledged) {
+  const PollCall look = RunOneTask();
   clock.Advance(absl::Milliseconds(60));
   const EndedRun done{1, Key(0), WorkerRunEnd::kDone};
-  const RunKeeperActions actions = AnswerLook(look, {}, {done});
+  const RunManagerActions actions = AnswerPoll(look, {}, {done});
   const auto reports = Reports(actions);
   BOOST_REQUIRE(reports.size() == 1u);
   BOOST_TEST((reports[0].end == RunEnd::kDone));
   BOOST_TEST(reports[0].run_ms == 60u);
-  const LookCall next = OnlyLook(actions);
+  const PollCall next = LastPoll(actions);
   BOOST_TEST(next.acknowledged == 1u);
-  BOOST_TEST(Reports(AnswerLook(next, {}, {done})).empty());
+  BOOST_TEST(Reports(AnswerPoll(next, {}, {done})).empty());
 }
 
-BOOST_AUTO_TEST_CASE(looks_follow_each_other_and_renew_the_lease) {
-  const LookCall look = RunOneTask();
-  BOOST_TEST((look.wait == kLookWait));
-  clock.Advance(kLookWait);
-  const LookCall next = OnlyLook(AnswerLook(look, {Key(0)}, {}));
+BOOST_AUTO_TEST_CASE(polls_follow_each_other_and_renew_the_lease) {
+  const PollCall look = RunOneTask();
+  BOOST_TEST((look.wait == kPollWait));
+  clock.Advance(kPollWait);
+  const PollCall next = LastPoll(AnswerPoll(look, {Key(0)}, {}));
   BOOST_TEST(next.lease_until_ms ==
              5000 + clock.ms() + absl::ToInt64Milliseconds(kWorkerLease));
 }
 
-BOOST_AUTO_TEST_CASE(entry_silent_for_its_bound_has_its_runs_stopped) {
+BOOST_AUTO_TEST_CASE(entry_unresponsive_for_its_bound_has_its_runs_stopped) {
   RunOneTask();
   BOOST_TEST(
       ActionsOf<StopCall>(Pass(kEntrySilence - absl::Milliseconds(1))).empty());
@@ -227,12 +227,12 @@
   BOOST_TEST((stops[0].key == Key(0)));
 }
 
-BOOST_AUTO_TEST_CASE(renewal_moves_the_bound_by_when_it_was_sent) {
+BOOST_AUTO_TEST_CASE(renewal_extends_runs_from_its_send_time) {
   RunOneTask();
   const RenewRuns renewal{clock.ms() + 100, {}};
   clock.Advance(absl::Milliseconds(300));  // it is under way for 200 ms
-  Say(renewal);
-  BOOST_TEST((keeper.NextWake() <=
+  SendFromEntry(renewal);
+  BOOST_TEST((manager.NextWake() <=
               absl::Milliseconds(renewal.sent_at_ms) + kEntrySilence));
   clock.Advance(kEntrySilence - absl::Milliseconds(200));
   BOOST_TEST(ActionsOf<StopCall>(Do(TimePassed{})).size() == 1u);
@@ -240,29 +240,29 @@
 
 BOOST_AUTO_TEST_CASE(entry_replaced_by_another_process_has_its_runs_stopped) {
   RunOneTask();
-  const RunKeeperActions actions = Do(PeerUp{"entry-1", 8});
+  const RunManagerActions actions = Do(PeerUp{"entry-1", 8});
   BOOST_TEST(ActionsOf<StopCall>(actions).size() == 1u);
 }
 
-BOOST_AUTO_TEST_CASE(link_that_comes_back_keeps_runs_and_reports) {
-  const LookCall look = RunOneTask();
+BOOST_AUTO_TEST_CASE(reconnected_link_keeps_runs_and_reports) {
+  const PollCall look = RunOneTask();
   Do(PeerDown{"entry-1", 7});
-  BOOST_TEST(Reports(AnswerLook(look, {}, {{1, Key(0), WorkerRunEnd::kDone}}))
+  BOOST_TEST(Reports(AnswerPoll(look, {}, {{1, Key(0), WorkerRunEnd::kDone}}))
                  .empty());
-  const RunKeeperActions actions = Do(PeerUp{"entry-1", 7});
+  const RunManagerActions actions = Do(PeerUp{"entry-1", 7});
   BOOST_TEST(ActionsOf<StopCall>(actions).empty());
   BOOST_TEST(Reports(actions).size() == 1u);
 }
 
 // A report lost with its link would leave its job waiting until its timeout.
-BOOST_AUTO_TEST_CASE(end_whose_report_was_lost_is_told_on_the_next_link) {
-  const LookCall look = RunOneTask();
-  BOOST_TEST(Reports(AnswerLook(look, {}, {{1, Key(0), WorkerRunEnd::kDone}}))
+BOOST_AUTO_TEST_CASE(end_whose_report_was_lost_is_resent_on_the_next_link) {
+  const PollCall look = RunOneTask();
+  BOOST_TEST(Reports(AnswerPoll(look, {}, {{1, Key(0), WorkerRunEnd::kDone}}))
                  .size() == 1u);
   Do(PeerDown{"entry-1", 7});
   Do(PeerUp{"entry-1", 7});
   const auto told =
-      Reports(Say(RenewRuns{clock.ms(), {}, {{Key(0).task, Key(0).run, 0}}}));
+      Reports(SendFromEntry(RenewRuns{clock.ms(), {}, {{Key(0).task, Key(0).run, 0}}}));
   BOOST_REQUIRE(told.size() == 1u);
   BOOST_TEST((told[0].end == RunEnd::kDone));
 }
@@ -270,7 +270,7 @@
 // An order lost with its link would leave its job waiting until its timeout.
 BOOST_AUTO_TEST_CASE(run_whose_order_was_lost_is_reported_as_stopped) {
   RunOneTask();
-  const auto told = Reports(Say(RenewRuns{
+  const auto told = Reports(SendFromEntry(RenewRuns{
       clock.ms(), {}, {{Key(0).task, Key(0).run, 0}, {Key(1).task, 1, 0}}}));
   BOOST_REQUIRE(told.size() == 1u);
   BOOST_TEST(told[0].task.index == 1u);
@@ -279,27 +279,27 @@
 
 BOOST_AUTO_TEST_CASE(stop_of_one_run_leaves_the_others) {
   Do(PeerUp{"entry-1", 7});
-  MeetWorker("i-1");
-  Say(Start(2));
-  const auto stops = ActionsOf<StopCall>(Say(StopRuns{"5c0e", 0, {{1, 1}}}));
+  ConnectWorker("i-1");
+  SendFromEntry(Start(2));
+  const auto stops = ActionsOf<StopCall>(SendFromEntry(StopRuns{"5c0e", 0, {{1, 1}}}));
   BOOST_REQUIRE(stops.size() == 1u);
   BOOST_TEST((stops[0].key == Key(1)));
 }
 
-BOOST_AUTO_TEST_CASE(start_unanswered_and_listed_goes_on) {
+BOOST_AUTO_TEST_CASE(start_unanswered_and_listed_keeps_running) {
   Do(PeerUp{"entry-1", 7});
-  const LookCall look = OnlyLook(MeetWorker("i-1"));
-  const auto calls = ActionsOf<StartCall>(Say(Start(1)));
+  const PollCall look = LastPoll(ConnectWorker("i-1"));
+  const auto calls = ActionsOf<StartCall>(SendFromEntry(Start(1)));
   clock.Advance(absl::Milliseconds(150));
-  const RunKeeperActions actions =
+  const RunManagerActions actions =
       Do(StartAnswered{calls[0], {CallVerdict::kUnknown, 0}});
-  const LookCall quick = OnlyLook(actions);
+  const PollCall quick = LastPoll(actions);
   BOOST_TEST((quick.wait == absl::ZeroDuration()));
   clock.Advance(absl::Milliseconds(1));
-  BOOST_TEST(ActionsOf<StopCall>(AnswerLook(quick, {Key(0)}, {})).empty());
+  BOOST_TEST(ActionsOf<StopCall>(AnswerPoll(quick, {Key(0)}, {})).empty());
   clock.Advance(absl::Milliseconds(1));
   const auto reports =
-      Reports(AnswerLook(look, {}, {{1, Key(0), WorkerRunEnd::kDone}}));
+      Reports(AnswerPoll(look, {}, {{1, Key(0), WorkerRunEnd::kDone}}));
   BOOST_TEST(reports.size() == 1u);
 }
 
@@ -307,27 +307,27 @@
 // never will, and only then is the run reported as over.
 BOOST_AUTO_TEST_CASE(start_unanswered_and_not_listed_is_stopped_then_reported) {
   Do(PeerUp{"entry-1", 7});
-  MeetWorker("i-1");
-  const auto calls = ActionsOf<StartCall>(Say(Start(1)));
-  const LookCall quick =
-      OnlyLook(Do(StartAnswered{calls[0], {CallVerdict::kUnknown, 0}}));
+  ConnectWorker("i-1");
+  const auto calls = ActionsOf<StartCall>(SendFromEntry(Start(1)));
+  const PollCall quick =
+      LastPoll(Do(StartAnswered{calls[0], {CallVerdict::kUnknown, 0}}));
   clock.Advance(absl::Milliseconds(1));
-  const RunKeeperActions stopping = AnswerLook(quick, {}, {});
+  const RunManagerActions stopping = AnswerPoll(quick, {}, {});
   const auto stops = ActionsOf<StopCall>(stopping);
   BOOST_REQUIRE(stops.size() == 1u);
   BOOST_TEST(Reports(stopping).empty());
-  const LookCall after = OnlyLook(Do(StopAnswered{stops[0], Answer()}));
+  const PollCall after = LastPoll(Do(StopAnswered{stops[0], Answer()}));
   clock.Advance(absl::Milliseconds(1));
-  const auto reports = Reports(AnswerLook(after, {}, {}));
+  const auto reports = Reports(AnswerPoll(after, {}, {}));
   BOOST_REQUIRE(reports.size() == 1u);
   BOOST_TEST((reports[0].end == RunEnd::kStopped));
 }
 
-BOOST_AUTO_TEST_CASE(start_without_an_answer_is_called_again) {
+BOOST_AUTO_TEST_CASE(start_without_an_answer_is_retried) {
   Do(PeerUp{"entry-1", 7});
-  MeetWorker("i-1");
-  const auto first = ActionsOf<StartCall>(Say(Start(1)));
-  BOOST_TEST((keeper.NextWake() <= clock.now().mono + kStartRetry));
+  ConnectWorker("i-1");
+  const auto first = ActionsOf<StartCall>(SendFromEntry(Start(1)));
+  BOOST_TEST((manager.NextWake() <= clock.now().mono + kStartRetry));
   const auto second = ActionsOf<StartCall>(Pass(kStartRetry));
   BOOST_REQUIRE(second.size() == 1u);
   BOOST_TEST((second[0].key == first[0].key));
@@ -336,33 +336,33 @@
   // The first call's fate says nothing any more.
   Do(StartAnswered{first[0], {CallVerdict::kUnknown, 0}});
   BOOST_TEST(ActionsOf<StartCall>(Pass(kStartRetry)).empty());
-  BOOST_TEST(keeper.runs() == 1u);
+  BOOST_TEST(manager.runs() == 1u);
 }
 
 // One lost answer would hide the ends of all runs until the look is overdue.
-BOOST_AUTO_TEST_CASE(look_is_doubled_while_calls_get_lost) {
+BOOST_AUTO_TEST_CASE(second_long_poll_is_sent_while_calls_get_lost) {
   RunOneTask();
-  const auto first = ActionsOf<StartCall>(Say(Start(1, 5)));
-  const auto looks = ActionsOf<LookCall>(Pass(kStartRetry));
+  const auto first = ActionsOf<StartCall>(SendFromEntry(Start(1, 5)));
+  const auto looks = ActionsOf<PollCall>(Pass(kStartRetry));
   BOOST_REQUIRE(looks.size() == 2u);
-  BOOST_TEST((looks[0].wait == kLookWait));
+  BOOST_TEST((looks[0].wait == kPollWait));
   BOOST_TEST((looks[1].wait == absl::ZeroDuration()));
   const auto reports =
-      Reports(AnswerLook(looks[0], {}, {{1, Key(0), WorkerRunEnd::kDone}}));
+      Reports(AnswerPoll(looks[0], {}, {{1, Key(0), WorkerRunEnd::kDone}}));
   BOOST_TEST(reports.size() == 1u);
 }
 
 // However many of them get lost, up to a bound; and none while nothing runs.
-BOOST_AUTO_TEST_CASE(quick_looks_follow_each_other_while_calls_get_lost) {
+BOOST_AUTO_TEST_CASE(short_polls_follow_each_other_while_calls_get_lost) {
   RunOneTask();
-  Say(Start(1, 5));
+  SendFromEntry(Start(1, 5));
   Pass(kStartRetry);
   size_t looks = 1;
   for (int i = 0; i < 20; ++i) {
     BOOST_TEST(
-        (keeper.NextWake() <= clock.now().mono + absl::Milliseconds(50)));
-    for (const LookCall& look :
-         ActionsOf<LookCall>(Pass(absl::Milliseconds(5)))) {
+        (manager.NextWake() <= clock.now().mono + absl::Milliseconds(50)));
+    for (const PollCall& look :
+         ActionsOf<PollCall>(Pass(absl::Milliseconds(5)))) {
       looks += look.wait == absl::ZeroDuration() ? 1 : 0;
     }
   }
@@ -370,21 +370,21 @@
   BOOST_TEST(looks <= 8u);
 }
 
-BOOST_AUTO_TEST_CASE(quick_looks_end_with_the_last_run) {
+BOOST_AUTO_TEST_CASE(short_polls_end_with_the_last_run) {
   RunOneTask();
-  Say(Start(1, 5));
-  const LookCall look = OnlyLook(Pass(kStartRetry));
-  AnswerLook(
+  SendFromEntry(Start(1, 5));
+  const PollCall look = LastPoll(Pass(kStartRetry));
+  AnswerPoll(
       look, {},
       {{1, Key(0), WorkerRunEnd::kDone}, {2, Key(0, 5), WorkerRunEnd::kDone}});
-  BOOST_TEST(keeper.runs() == 0u);
-  BOOST_TEST(ActionsOf<LookCall>(Pass(absl::Milliseconds(100))).empty());
+  BOOST_TEST(manager.runs() == 0u);
+  BOOST_TEST(ActionsOf<PollCall>(Pass(absl::Milliseconds(100))).empty());
 }
 
-BOOST_AUTO_TEST_CASE(start_is_called_so_often_and_no_more) {
+BOOST_AUTO_TEST_CASE(start_is_retried_up_to_its_limit) {
   Do(PeerUp{"entry-1", 7});
-  MeetWorker("i-1");
-  Say(Start(1));
+  ConnectWorker("i-1");
+  SendFromEntry(Start(1));
   size_t repeated = 0;
   for (uint32_t i = 0; i < 2 * kMaxStartCalls; ++i) {
     repeated += ActionsOf<StartCall>(Pass(kStartRetry)).size();
@@ -393,29 +393,29 @@
 }
 
 // The first call may have started the run, and the run may have ended since.
-BOOST_AUTO_TEST_CASE(start_turned_away_after_a_lost_call_may_have_run) {
+BOOST_AUTO_TEST_CASE(start_refused_after_a_lost_call_may_have_run) {
   Do(PeerUp{"entry-1", 7});
-  MeetWorker("i-1");
-  const auto first = ActionsOf<StartCall>(Say(Start(1)));
-  const RunKeeperActions again = Pass(kStartRetry);
+  ConnectWorker("i-1");
+  const auto first = ActionsOf<StartCall>(SendFromEntry(Start(1)));
+  const RunManagerActions again = Pass(kStartRetry);
   const auto second = ActionsOf<StartCall>(again);
   BOOST_TEST(
       Reports(Do(StartAnswered{second[0], Answer(CallVerdict::kOldNumber)}))
           .empty());
-  const RunKeeperActions lost =
+  const RunManagerActions lost =
       Do(StartAnswered{first[0], {CallVerdict::kUnknown, 0}});
   BOOST_TEST(Reports(lost).empty());
   // The look that went out with the second call.
   const auto reports = Reports(
-      AnswerLook(OnlyLook(again), {}, {{1, Key(0), WorkerRunEnd::kDone}}));
+      AnswerPoll(LastPoll(again), {}, {{1, Key(0), WorkerRunEnd::kDone}}));
   BOOST_REQUIRE(reports.size() == 1u);
   BOOST_TEST((reports[0].end == RunEnd::kDone));
 }
 
-BOOST_AUTO_TEST_CASE(start_turned_away_at_each_call_never_started) {
+BOOST_AUTO_TEST_CASE(start_refused_at_each_call_never_started) {
   Do(PeerUp{"entry-1", 7});
-  MeetWorker("i-1");
-  const auto first = ActionsOf<StartCall>(Say(Start(1)));
+  ConnectWorker("i-1");
+  const auto first = ActionsOf<StartCall>(SendFromEntry(Start(1)));
   const auto second = ActionsOf<StartCall>(Pass(kStartRetry));
   Do(StartAnswered{first[0], Answer(CallVerdict::kNoRoom)});
   const auto reports =
@@ -426,60 +426,60 @@
 
 // Its processor is not the agent's alone: what waits for a look must not wake
 // it again and again meanwhile.
-BOOST_AUTO_TEST_CASE(stop_answered_of_a_silent_entry_wakes_nobody_in_the_past) {
+BOOST_AUTO_TEST_CASE(answered_stop_sets_no_wake_time_in_the_past) {
   RunOneTask();
   const auto stops = ActionsOf<StopCall>(Pass(kEntrySilence));
   BOOST_REQUIRE(stops.size() == 1u);
   Do(StopAnswered{stops[0], Answer()});
-  BOOST_TEST((keeper.NextWake() > clock.now().mono));
+  BOOST_TEST((manager.NextWake() > clock.now().mono));
 }
 
 BOOST_AUTO_TEST_CASE(stop_without_an_answer_is_repeated) {
   RunOneTask();
-  BOOST_TEST(ActionsOf<StopCall>(Say(StopRuns{"5c0e", 0, {}})).size() == 1u);
+  BOOST_TEST(ActionsOf<StopCall>(SendFromEntry(StopRuns{"5c0e", 0, {}})).size() == 1u);
   BOOST_TEST(ActionsOf<StopCall>(Pass(kStopRetry)).size() == 1u);
 }
 
-BOOST_AUTO_TEST_CASE(run_that_no_entry_answers_for_is_stopped) {
+BOOST_AUTO_TEST_CASE(run_of_no_entry_is_stopped) {
   Do(PeerUp{"entry-1", 7});
-  const LookCall look = OnlyLook(MeetWorker("i-1"));
-  const auto stops = ActionsOf<StopCall>(AnswerLook(look, {Key(3, 9)}, {}));
+  const PollCall look = LastPoll(ConnectWorker("i-1"));
+  const auto stops = ActionsOf<StopCall>(AnswerPoll(look, {Key(3, 9)}, {}));
   BOOST_REQUIRE(stops.size() == 1u);
   BOOST_TEST((stops[0].key == Key(3, 9)));
 }
 
-BOOST_AUTO_TEST_CASE(call_fenced_by_a_higher_token_raises_the_own_one) {
+BOOST_AUTO_TEST_CASE(call_fenced_by_a_higher_token_raises_the_agents_token) {
   Do(PeerUp{"entry-1", 7});
-  MeetWorker("i-1");
-  const auto calls = ActionsOf<StartCall>(Say(Start(1)));
-  const RunKeeperActions actions =
+  ConnectWorker("i-1");
+  const auto calls = ActionsOf<StartCall>(SendFromEntry(Start(1)));
+  const RunManagerActions actions =
       Do(StartAnswered{calls[0], Answer(CallVerdict::kFenced)});
   BOOST_TEST((Reports(actions)[0].end == RunEnd::kStale));
-  const auto again = ActionsOf<StartCall>(Say(Start(1, 2)));
+  const auto again = ActionsOf<StartCall>(SendFromEntry(Start(1, 2)));
   BOOST_REQUIRE(again.size() == 1u);
   BOOST_TEST(again[0].fencing_token > calls[0].fencing_token);
 }
 
 // Without an answer for long, the lease is no longer renewed; the runs are
 // reported as over only when the last lease has certainly run out.
-BOOST_AUTO_TEST_CASE(worker_silent_has_its_runs_reported_after_the_last_lease) {
-  LookCall look = RunOneTask();
+BOOST_AUTO_TEST_CASE(unresponsive_worker_has_its_runs_reported_after_the_last_lease) {
+  PollCall look = RunOneTask();
   std::vector<RunReport> reports;
   absl::Duration waited;
   absl::Duration last_lease;
   while (reports.empty() && waited < absl::Seconds(5)) {
-    Say(RenewRuns{clock.ms(), {}});
+    SendFromEntry(RenewRuns{clock.ms(), {}});
     if (look.lease_until_ms > 0) {
       last_lease = waited;
     }
     clock.Advance(absl::Milliseconds(100));
     waited += absl::Milliseconds(100);
-    const RunKeeperActions failed =
-        AnswerLook(look, {}, {}, CallVerdict::kUnknown);
+    const RunManagerActions failed =
+        AnswerPoll(look, {}, {}, CallVerdict::kUnknown);
     reports = Reports(failed);
-    const RunKeeperActions next = Pass(absl::Milliseconds(50));
+    const RunManagerActions next = Pass(absl::Milliseconds(50));
     waited += absl::Milliseconds(50);
-    const auto looks = ActionsOf<LookCall>(next);
+    const auto looks = ActionsOf<PollCall>(next);
     if (!looks.empty()) {
       look = looks.back();
     }
@@ -492,15 +492,15 @@
   BOOST_TEST((waited - last_lease > kWorkerLease / 0.98));
 }
 
-BOOST_AUTO_TEST_CASE(room_free_again_is_told_to_an_entry_that_was_refused) {
+BOOST_AUTO_TEST_CASE(freed_capacity_is_reported_to_an_entry_that_was_refused) {
   Do(PeerUp{"entry-1", 7});
-  const LookCall look = OnlyLook(MeetWorker("i-1"));
-  Say(Start(11));
+  const PollCall look = LastPoll(ConnectWorker("i-1"));
+  SendFromEntry(Start(11));
   Do(PeerUp{"entry-2", 9});
   const auto second =
       Do(PeerSaid{"entry-2", 9, Start(1, 5)});  // refused: the worker is full
   BOOST_TEST(ActionsOf<StartCall>(second).empty());
-  const RunKeeperActions actions = AnswerLook(
+  const RunManagerActions actions = AnswerPoll(
       look, {},
       {{1, Key(0), WorkerRunEnd::kDone}, {2, Key(1), WorkerRunEnd::kDone}});
   const auto told = SentTo<RunReports>("entry-2", actions);
@@ -508,58 +508,58 @@
   BOOST_TEST(told[0].worker.free.millicores > 0u);
 }
 
-BOOST_AUTO_TEST_CASE(room_free_again_is_told_to_an_entry_that_asked) {
+BOOST_AUTO_TEST_CASE(freed_capacity_is_reported_to_an_entry_that_requested_it) {
   Do(PeerUp{"entry-1", 7});
-  const LookCall look = OnlyLook(MeetWorker("i-1"));
-  Say(Start(10));
+  const PollCall look = LastPoll(ConnectWorker("i-1"));
+  SendFromEntry(Start(10));
   Do(PeerUp{"entry-2", 9});
   Do(PeerSaid{"entry-2", 9, RenewRuns{clock.ms(), {{0, kSixCores, 1}}}});
-  const RunKeeperActions actions = AnswerLook(
+  const RunManagerActions actions = AnswerPoll(
       look, {},
       {{1, Key(0), WorkerRunEnd::kDone}, {2, Key(1), WorkerRunEnd::kDone}});
   BOOST_TEST(SentTo<RunReports>("entry-2", actions).size() == 1u);
 }
 
 BOOST_AUTO_TEST_CASE(
-    room_for_one_task_is_told_to_the_entry_with_the_most_urgent) {
+    capacity_for_one_task_is_reported_to_the_most_urgent_entry) {
   Do(PeerUp{"entry-1", 7});
   Do(PeerUp{"entry-2", 9});
   Do(PeerUp{"entry-3", 3});
-  const LookCall look = OnlyLook(MeetWorker("i-1"));
-  for (const StartCall& call : ActionsOf<StartCall>(Say(Start(10)))) {
+  const PollCall look = LastPoll(ConnectWorker("i-1"));
+  for (const StartCall& call : ActionsOf<StartCall>(SendFromEntry(Start(10)))) {
     Do(StartAnswered{call, Answer()});
   }
   Do(PeerSaid{"entry-3", 3, RenewRuns{clock.ms(), {{2, kSixCores, 9}}}});
   Do(PeerSaid{"entry-2", 9, RenewRuns{clock.ms(), {{1, kSixCores, 1}}}});
-  const RunKeeperActions actions =
-      AnswerLook(look, {}, {{1, Key(0), WorkerRunEnd::kDone}});
+  const RunManagerActions actions =
+      AnswerPoll(look, {}, {{1, Key(0), WorkerRunEnd::kDone}});
   BOOST_TEST(SentTo<RunReports>("entry-2", actions).size() == 1u);
   BOOST_TEST(SentTo<RunReports>("entry-3", actions).empty());
 }
 
 BOOST_AUTO_TEST_CASE(
-    room_for_one_task_is_told_to_the_entry_that_waited_longest) {
+    capacity_for_one_task_is_reported_to_the_longest_waiting_entry) {
   Do(PeerUp{"entry-1", 7});
-  const LookCall look = OnlyLook(MeetWorker("i-1"));
-  Say(Start(10));  // 4 of 64 cores are left
+  const PollCall look = LastPoll(ConnectWorker("i-1"));
+  SendFromEntry(Start(10));  // 4 of 64 cores are left
   Do(PeerUp{"entry-3", 3});
   Do(PeerUp{"entry-2", 9});
   Do(PeerSaid{"entry-3", 3, RenewRuns{clock.ms(), {{0, kSixCores, 1}}}});
   Do(PeerSaid{"entry-2", 9, RenewRuns{clock.ms(), {{0, kSixCores, 1}}}});
-  const RunKeeperActions first =
-      AnswerLook(look, {}, {{1, Key(0), WorkerRunEnd::kDone}});
+  const RunManagerActions first =
+      AnswerPoll(look, {}, {{1, Key(0), WorkerRunEnd::kDone}});
   BOOST_TEST(SentTo<RunReports>("entry-3", first).size() == 1u);
   BOOST_TEST(SentTo<RunReports>("entry-2", first).empty());
   // The first one has no use for it.
-  BOOST_TEST((keeper.NextWake() <= clock.now().mono + absl::Milliseconds(10)));
+  BOOST_TEST((manager.NextWake() <= clock.now().mono + absl::Milliseconds(10)));
   BOOST_TEST(
       SentTo<RunReports>("entry-2", Pass(absl::Milliseconds(11))).size() == 1u);
 }
 
-BOOST_AUTO_TEST_CASE(room_goes_more_often_to_the_entry_with_more_waiting) {
+BOOST_AUTO_TEST_CASE(capacity_goes_more_often_to_the_entry_with_more_waiting_tasks) {
   Do(PeerUp{"entry-1", 7});
-  LookCall look = OnlyLook(MeetWorker("i-1"));
-  Say(Start(10));  // 4 of 64 cores are left
+  PollCall look = LastPoll(ConnectWorker("i-1"));
+  SendFromEntry(Start(10));  // 4 of 64 cores are left
   Do(PeerUp{"entry-2", 9});
   Do(PeerUp{"entry-3", 3});
   Do(PeerSaid{"entry-2", 9, RenewRuns{clock.ms(), {{0, kSixCores, 6}}}});
@@ -567,9 +567,9 @@
   size_t second = 0;
   size_t third = 0;
   for (uint32_t i = 0; i < 5; ++i) {
-    const RunKeeperActions actions =
-        AnswerLook(look, {}, {{i + 1, Key(i), WorkerRunEnd::kDone}});
-    look = OnlyLook(actions);
+    const RunManagerActions actions =
+        AnswerPoll(look, {}, {{i + 1, Key(i), WorkerRunEnd::kDone}});
+    look = LastPoll(actions);
     // Who is told has no use for it, so that the next one is told later.
     second += SentTo<RunReports>("entry-2", actions).size();
     third += SentTo<RunReports>("entry-3", actions).size();
@@ -578,38 +578,38 @@
   BOOST_TEST(third > 0u);
 }
 
-BOOST_AUTO_TEST_CASE(room_promised_to_one_entry_is_kept_from_the_others) {
+BOOST_AUTO_TEST_CASE(capacity_reserved_for_one_entry_is_withheld_from_the_others) {
   Do(PeerUp{"entry-1", 7});
-  const LookCall look = OnlyLook(MeetWorker("i-1"));
-  Say(Start(10));  // 4 of 64 cores are left
+  const PollCall look = LastPoll(ConnectWorker("i-1"));
+  SendFromEntry(Start(10));  // 4 of 64 cores are left
   Do(PeerUp{"entry-3", 3});
   Do(PeerSaid{"entry-3", 3, RenewRuns{clock.ms(), {{0, kSixCores, 1}}}});
-  AnswerLook(look, {}, {{1, Key(0), WorkerRunEnd::kDone}});
+  AnswerPoll(look, {}, {{1, Key(0), WorkerRunEnd::kDone}});
   StartRuns other = Start(1, 9);
-  BOOST_TEST(ActionsOf<StartCall>(Say(other)).empty());
+  BOOST_TEST(ActionsOf<StartCall>(SendFromEntry(other)).empty());
   other.job = "1a2b";
   BOOST_TEST(ActionsOf<StartCall>(Do(PeerSaid{"entry-3", 3, other})).size() ==
              1u);
 }
 
-BOOST_AUTO_TEST_CASE(room_too_small_for_what_waits_is_not_told) {
+BOOST_AUTO_TEST_CASE(capacity_too_small_for_the_waiting_tasks_is_not_reported) {
   Do(PeerUp{"entry-1", 7});
-  const LookCall look = OnlyLook(MeetWorker("i-1"));
-  Say(Start(10));
+  const PollCall look = LastPoll(ConnectWorker("i-1"));
+  SendFromEntry(Start(10));
   Do(PeerUp{"entry-2", 9});
   Do(PeerSaid{"entry-2", 9, RenewRuns{clock.ms(), {{0, kWholeWorker, 1}}}});
-  const RunKeeperActions actions =
-      AnswerLook(look, {}, {{1, Key(0), WorkerRunEnd::kDone}});
+  const RunManagerActions actions =
+      AnswerPoll(look, {}, {{1, Key(0), WorkerRunEnd::kDone}});
   BOOST_TEST(SentTo<RunReports>("entry-2", actions).empty());
 }
 
 BOOST_AUTO_TEST_CASE(drain_finishes_what_runs_and_takes_nothing_new) {
-  const LookCall look = RunOneTask();
+  const PollCall look = RunOneTask();
   Do(DrainBegan{});
-  BOOST_TEST(!keeper.Finished());
-  BOOST_TEST(ActionsOf<StartCall>(Say(Start(1, 2))).empty());
-  AnswerLook(look, {}, {{1, Key(0), WorkerRunEnd::kDone}});
-  BOOST_TEST(keeper.Finished());
+  BOOST_TEST(!manager.Finished());
+  BOOST_TEST(ActionsOf<StartCall>(SendFromEntry(Start(1, 2))).empty());
+  AnswerPoll(look, {}, {{1, Key(0), WorkerRunEnd::kDone}});
+  BOOST_TEST(manager.Finished());
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/test/run_world.cc
+++ b/test/run_world.cc
@@ -109,7 +109,7 @@
 void RunWorld::StartAgent(int agent) {
   Agent& process = m_agents[agent];
   process.incarnation = ++m_incarnations;
-  process.node = std::make_unique<RunKeeper>(DataCentreOf(agent));
+  process.node = std::make_unique<RunManager>(DataCentreOf(agent));
   process.held.clear();
   process.frozen_until = 0;
   for (int entry = 0; entry < static_cast<int>(m_entries.size()); ++entry) {
@@ -348,7 +348,7 @@
   Deliver(m_entries[entry], event);
 }
 
-void RunWorld::ToAgent(int agent, const RunKeeperEvent& event) {
+void RunWorld::ToAgent(int agent, const RunManagerEvent& event) {
   Deliver(m_agents[agent], event);
 }
 
@@ -422,13 +422,13 @@
   }
 }
 
-void RunWorld::Perform(const Agent& agent, const RunKeeperActions& actions) {
-  for (const RunKeeperAction& action : actions) {
+void RunWorld::Perform(const Agent& agent, const RunManagerActions& actions) {
+  for (const RunManagerAction& action : actions) {
     if (const auto* start = std::get_if<StartCall>(&action)) {
       CallWorker(agent.number, *start);
     } else if (const auto* stop = std::get_if<StopCall>(&action)) {
       CallWorker(agent.number, *stop);
-    } else if (const auto* look = std::get_if<LookCall>(&action)) {
+    } else if (const auto* look = std::get_if<PollCall>(&action)) {
       CallWorker(agent.number, *look);
     } else if (const auto* note = std::get_if<NoteStateChange>(&action)) {
       Trace(agent.name, *note);
--- a/test/run_world.h
+++ b/test/run_world.h
@@ -1,5 +1,5 @@
 // Entries, agents, workers and callers of jobs made of steps in virtual time:
-// the real JobDispatcher and RunKeeper, with small fakes around them, and the
+// the real JobDispatcher and RunManager, with small fakes around them, and the
 // faults that the deployment must bear.
 //
 //   RunWorld world({.seed = 7});
@@ -26,7 +26,7 @@
 #include "dispatch_policy.h"
 #include "fake_run_worker.h"
 #include "job_dispatcher.h"
-#include "run_keeper.h"
+#include "run_manager.h"
 #include "virtual_time.h"
 
 namespace egretswitch::internal {
@@ -154,7 +154,7 @@
     uint64_t evacuations_told = 0;  // the version, and when
     VirtualUs told_at = 0;
   };
-  struct Agent : Process<RunKeeper, RunKeeperEvent> {
+  struct Agent : Process<RunManager, RunManagerEvent> {
     std::unique_ptr<FakeRunWorker> worker;
     TaskNeeds capacity = kFakeWorkerCapacity;
     double slowness = 1;
@@ -195,7 +195,7 @@
   Link& LinkOf(int entry, int agent) { return m_links[{entry, agent}]; }
 
   void ToEntry(int entry, const JobDispatcherEvent& event);
-  void ToAgent(int agent, const RunKeeperEvent& event);
+  void ToAgent(int agent, const RunManagerEvent& event);
   void FreezeEntry(int entry, VirtualUs until);
   void FreezeAgent(int agent, VirtualUs until);
   template <typename AnyProcess>
@@ -205,7 +205,7 @@
   template <typename AnyProcess>
   void Freeze(AnyProcess& process, VirtualUs until);
   void Perform(const Entry& entry, const JobDispatcherActions& actions);
-  void Perform(const Agent& agent, const RunKeeperActions& actions);
+  void Perform(const Agent& agent, const RunManagerActions& actions);
   void Transmit(const Entry& entry, const SendRunMessage& send);
   void Transmit(const Agent& agent, const SendRunMessage& send);
   VirtualUs ArrivalOn(Way& way) const;
@@ -225,7 +225,7 @@
 
   void CallWorker(int agent, const StartCall& call);
   void CallWorker(int agent, const StopCall& call);
-  void CallWorker(int agent, const LookCall& call);
+  void CallWorker(int agent, const PollCall& call);
   template <typename Call, typename Carry>
   void Send(int agent, const Call& call, Carry carry);
   template <typename Call>
@@ -237,7 +237,7 @@
   bool EndedWithItsWorker(int agent, uint64_t sent_to) const;
   bool LosesAnswer(int agent);
   CallVerdict NobodyThere(MonoTime asked) const;
-  void LookUntil(int agent, LookCall call, VirtualUs give_up, MonoTime asked);
+  void LookUntil(int agent, PollCall call, VirtualUs give_up, MonoTime asked);
   void NoteStart(int agent, const RunKey& key);
   static std::string DataCentreOf(int agent);
   void TellEvacuations(int entry);
--- a/test/run_world_calls.cc
+++ b/test/run_world_calls.cc
@@ -70,7 +70,7 @@
                      EndedWithItsWorker(agent, sent_to)) {
                    return;
                  }
-                 const RunKeeperEvent event = carry(*m_agents[agent].worker);
+                 const RunManagerEvent event = carry(*m_agents[agent].worker);
                  if (!harmed) {
                    m_time.After(kCallDelay, [this, agent, event, incarnation] {
                      if (m_agents[agent].incarnation == incarnation) {
@@ -101,7 +101,7 @@
         CrashSoon(agent, plan);
       }
     }
-    return RunKeeperEvent(StartAnswered{call, answer});
+    return RunManagerEvent(StartAnswered{call, answer});
   });
 }
 
@@ -119,11 +119,11 @@
 
 void RunWorld::CallWorker(int agent, const StopCall& call) {
   Send(agent, call, [this, call](FakeRunWorker& worker) {
-    return RunKeeperEvent(StopAnswered{call, worker.Stop(call, m_time.now())});
+    return RunManagerEvent(StopAnswered{call, worker.Stop(call, m_time.now())});
   });
 }
 
-void RunWorld::CallWorker(int agent, const LookCall& call) {
+void RunWorld::CallWorker(int agent, const PollCall& call) {
   const MonoTime asked = NowAt().mono;
   const VirtualUs give_up = m_time.now() + absl::ToInt64Microseconds(call.wait);
   m_time.After(kCallDelay, [this, agent, call, give_up, asked,
@@ -158,30 +158,30 @@
 // Answers when something has ended, or at `give_up`. A worker that is away
 // leaves the call without an answer.
 void RunWorld::LookUntil(int agent,
-                         LookCall call,
+                         PollCall call,
                          VirtualUs give_up,
                          MonoTime asked) {
   Agent& process = m_agents[agent];
   const uint64_t incarnation = process.incarnation;
   const auto answer = [this, agent, call, asked, incarnation](
-                          const LookAnswer& found, VirtualUs delay) {
+                          const PollAnswer& found, VirtualUs delay) {
     m_time.After(delay, [this, agent, call, asked, incarnation, found] {
       if (m_agents[agent].incarnation == incarnation) {
-        ToAgent(agent, LookAnswered{call, asked, found});
+        ToAgent(agent, PollAnswered{call, asked, found});
       }
     });
   };
   if (process.worker == nullptr) {
-    LookAnswer none;
+    PollAnswer none;
     none.call.verdict = NobodyThere(asked);
     answer(none, m_down_workers_refuse ? kCallDelay : kCallTimeout);
     return;
   }
-  const LookAnswer found = process.worker->Look(call, m_time.now());
+  const PollAnswer found = process.worker->Poll(call, m_time.now());
   const bool over = m_time.now() >= give_up || !found.ended.empty() ||
                     found.call.verdict != CallVerdict::kDone;
   if (over && LosesAnswer(agent)) {
-    answer(LookAnswer{},
+    answer(PollAnswer{},
            std::max<VirtualUs>(0, give_up - m_time.now()) + kCallTimeout);
     return;
   }
--- a/test/soak/soak_deployment.cc
+++ b/test/soak/soak_deployment.cc
@@ -209,7 +209,7 @@
 }
 
 void SoakDeployment::CrashWorker(size_t worker,
-                                 platform::WorkerStandIn::Away away,
+                                 platform::WorkerStandIn::CrashMode away,
                                  absl::Duration duration) {
   if (!m_workers[worker]->crashed()) {
     m_workers[worker]->Crash(away);
@@ -222,7 +222,7 @@
   m_store.LoseAnswers(false);
   m_store_proxy->SetHarm({});
   for (const auto& worker : m_workers) {
-    worker->HarmCalls(0);
+    worker->LoseCalls(0);
   }
   for (SoakProcess& process : m_processes) {
     process.links->SetHarm({});
--- a/test/soak/soak_deployment.h
+++ b/test/soak/soak_deployment.h
@@ -68,7 +68,7 @@
   void CrashWorker(size_t worker);
   // It is there after `duration`, at the same address.
   void CrashWorker(size_t worker,
-                   platform::WorkerStandIn::Away away,
+                   platform::WorkerStandIn::CrashMode away,
                    absl::Duration duration);
   void PublishConfig();
   // Where a GET succeeds once the newest configuration is in force.
--- a/test/soak/soak_faults.cc
+++ b/test/soak/soak_faults.cc
@@ -76,13 +76,13 @@
   if (internal::EventLoop::MonoNow() >= m_end) {
     return;
   }
-  using Away = platform::WorkerStandIn::Away;
+  using CrashMode = platform::WorkerStandIn::CrashMode;
   const auto draw = [this](int least, int most) {
     return std::uniform_int_distribution<int>(least, most)(m_loss_random);
   };
   const auto& workers = m_deployment.workers();
   const int percent = draw(33, 100);
-  const Away away = draw(0, 2) == 0 ? Away::kSilent : Away::kResets;
+  const CrashMode away = draw(0, 2) == 0 ? CrashMode::kUnresponsive : CrashMode::kResetConnections;
   std::string names;
   for (size_t i = 0; i < workers.size(); ++i) {
     const absl::Duration duration = absl::Milliseconds(draw(100, 1000));
@@ -92,7 +92,7 @@
       m_deployment.CrashWorker(i, away, duration);
     }
   }
-  Note(absl::StrCat(away == Away::kSilent ? "crash unseen:" : "crash together:",
+  Note(absl::StrCat(away == CrashMode::kUnresponsive ? "crash unseen:" : "crash together:",
                     names));
 }
 
@@ -253,8 +253,8 @@
   const int percent = Draw(5, 60);
   Note(absl::StrCat("harm ", percent, "% of the calls to ",
                     worker.incarnation()));
-  worker.HarmCalls(percent);
-  m_loop.RunAfter(DrawMs(500, 4000), [&worker] { worker.HarmCalls(0); });
+  worker.LoseCalls(percent);
+  m_loop.RunAfter(DrawMs(500, 4000), [&worker] { worker.LoseCalls(0); });
 }
 
 }  // namespace egretswitch::soak
--- a/test/suspects_test.cc
+++ b/test/suspects_test.cc
@@ -6,16 +6,16 @@
 
 #include "job_dispatcher_fixture.h"
 #include "lost_runs.h"
-#include "run_keeper_fixture.h"
+#include "run_manager_fixture.h"
 
 namespace egretswitch::internal {
 namespace {
 
 constexpr uint32_t kCrashedAfterMs = 100;
 
-struct SuspectsAtAgentFixture : RunKeeperFixture {
+struct SuspectsAtAgentFixture : RunManagerFixture {
   SuspectsAtAgentFixture() {
-    MeetWorker("i-1");
+    ConnectWorker("i-1");
     Do(PeerUp{"entry-1", 1});
     Do(PeerUp{"entry-2", 1});
   }
@@ -53,7 +53,7 @@
 BOOST_AUTO_TEST_CASE(task_without_a_crash_runs_beside_a_suspect) {
   BOOST_TEST(Order("entry-1", "5c0e", kCrashedAfterMs).empty());
   BOOST_TEST(Order("entry-2", "7a21", 0).empty());
-  BOOST_TEST(keeper.runs() == 2u);
+  BOOST_TEST(manager.runs() == 2u);
 }
 
 // Guards against workers that stand idle for tasks that are sound by now.
