--- a/src/entry_contacts.cc
+++ b/src/entry_contacts.cc
@@ -1,5 +1,5 @@
-// A word counts from when it was sent: one that waited in a buffer says nothing
-// of whether the entry still lives.
+// A message counts from the time it was sent: one that waited in a buffer does
+// not show that the entry is still alive.
 #include "entry_contacts.h"
 
 #include <algorithm>
@@ -12,7 +12,8 @@
 
 namespace egretswitch::internal {
 
-bool EntryContacts::LinkUp(const std::string& entry, uint64_t incarnation) {
+bool EntryContacts::RecordConnected(const std::string& entry,
+                                    uint64_t incarnation) {
   Contact& contact = m_contacts[entry];
   const bool replaces = contact.incarnation != incarnation;
   if (replaces) {
@@ -24,64 +25,68 @@
   return replaces;
 }
 
-bool EntryContacts::LinkDown(const std::string& entry, uint64_t incarnation) {
-  if (!Knows(entry, incarnation)) {
+bool EntryContacts::RecordDisconnected(const std::string& entry,
+                                       uint64_t incarnation) {
+  if (!HasIncarnation(entry, incarnation)) {
     return false;
   }
   m_contacts.at(entry).linked = false;
   return true;
 }
 
-bool EntryContacts::Knows(const std::string& entry,
-                          uint64_t incarnation) const {
+bool EntryContacts::HasIncarnation(const std::string& entry,
+                                   uint64_t incarnation) const {
   const auto it = m_contacts.find(entry);
   return it != m_contacts.end() && it->second.incarnation == incarnation;
 }
 
-void EntryContacts::HeardFrom(const std::string& entry, int64_t sent_at_ms) {
-  MonoTime& last_word = m_contacts[entry].last_word;
-  last_word = std::max(last_word, absl::Milliseconds(sent_at_ms));
+void EntryContacts::RecordMessage(const std::string& entry,
+                                  int64_t sent_at_ms) {
+  MonoTime& last_sent_at = m_contacts[entry].last_sent_at;
+  last_sent_at = std::max(last_sent_at, absl::Milliseconds(sent_at_ms));
 }
 
-void EntryContacts::StartedThrough(const std::string& entry,
-                                   uint64_t sequence) {
+void EntryContacts::SetStartedThrough(const std::string& entry,
+                                      uint64_t sequence) {
   m_contacts[entry].started_through = sequence;
 }
 
-// One that has wanted nothing for a while has saved no turns.
-void EntryContacts::NoteWant(Contact& contact, double turn, uint64_t number) {
-  if (contact.wanted.empty()) {
+// An entry accumulates no credit while it has no requests.
+void EntryContacts::JoinQueue(Contact& contact, double turn, uint64_t number) {
+  if (contact.requests.empty()) {
     contact.turn = std::max(contact.turn, turn);
-    contact.wanted_from = number;
+    contact.queue_number = number;
   }
 }
 
-void EntryContacts::WantsRoom(const std::string& entry,
-                              const std::vector<RoomWanted>& wanted) {
+void EntryContacts::SetCapacityRequests(
+    const std::string& entry,
+    const std::vector<RoomWanted>& requests) {
   Contact& contact = m_contacts[entry];
-  NoteWant(contact, m_turn, ++m_wants);
-  contact.wanted = wanted;
+  JoinQueue(contact, m_last_turn, ++m_last_queue_number);
+  contact.requests = requests;
 }
 
-void EntryContacts::WantsRoomToo(const std::string& entry,
-                                 const RoomWanted& wanted) {
+void EntryContacts::AddCapacityRequest(const std::string& entry,
+                                       const RoomWanted& request) {
   Contact& contact = m_contacts[entry];
-  NoteWant(contact, m_turn, ++m_wants);
-  const auto next = std::find_if(contact.wanted.begin(), contact.wanted.end(),
-                                 [&wanted](const RoomWanted& other) {
-                                   return other.urgency >= wanted.urgency;
-                                 });
-  const bool known =
-      next != contact.wanted.end() && next->urgency == wanted.urgency;
-  if (!known) {
-    contact.wanted.insert(next, wanted);
+  JoinQueue(contact, m_last_turn, ++m_last_queue_number);
+  const auto next =
+      std::find_if(contact.requests.begin(), contact.requests.end(),
+                   [&request](const RoomWanted& other) {
+                     return other.urgency >= request.urgency;
+                   });
+  const bool present =
+      next != contact.requests.end() && next->urgency == request.urgency;
+  if (!present) {
+    contact.requests.insert(next, request);
   }
 }
 
-MonoTime EntryContacts::SilentFrom(const std::string& entry) const {
+MonoTime EntryContacts::RunsExpireAt(const std::string& entry) const {
   const auto it = m_contacts.find(entry);
   return it == m_contacts.end() ? absl::InfiniteDuration()
-                                : it->second.last_word + kEntrySilence;
+                                : it->second.last_sent_at + kEntrySilence;
 }
 
 void EntryContacts::Report(const std::string& entry, const RunReport& report) {
@@ -92,27 +97,27 @@
   }
 }
 
-void EntryContacts::TellSoon(const std::string& entry) {
+void EntryContacts::ScheduleReport(const std::string& entry) {
   m_contacts[entry].report_due = true;
 }
 
-void EntryContacts::TellEveryone() {
+void EntryContacts::ScheduleReportToAll() {
   for (auto& [name, contact] : m_contacts) {
     contact.report_due = true;
   }
 }
 
-std::vector<EntryContacts::Candidate> EntryContacts::InOrder() {
+std::vector<EntryContacts::Candidate> EntryContacts::CandidatesInOrder() {
   std::vector<Candidate> candidates;
   for (auto& [name, contact] : m_contacts) {
-    for (size_t i = 0; contact.linked && i < contact.wanted.size(); ++i) {
+    for (size_t i = 0; contact.linked && i < contact.requests.size(); ++i) {
       candidates.push_back({&name, &contact, i});
     }
   }
   const auto rank = [](const Candidate& candidate) {
     const Contact& contact = *candidate.contact;
-    return std::tuple(contact.wanted[candidate.position].urgency, contact.turn,
-                      contact.wanted_from);
+    return std::tuple(contact.requests[candidate.position].urgency,
+                      contact.turn, contact.queue_number);
   };
   std::sort(candidates.begin(), candidates.end(),
             [&rank](const Candidate& left, const Candidate& right) {
@@ -121,45 +126,45 @@
   return candidates;
 }
 
-// Telling all of them at once would bring a start from each, for room that is
-// enough for one. Who is told and has no use for it leaves it to the next one,
-// who is told with the next event.
-void EntryContacts::NoticeRoom(TaskNeeds free,
-                               RoomPromises& promises,
-                               MonoTime now) {
-  std::set<const Contact*> told;
-  for (const Candidate& candidate : InOrder()) {
+// Notifying all entries at once would make each of them send a start, for
+// capacity that suffices for one. If a notified entry does not use its
+// reservation, the next entry is notified with the next event.
+void EntryContacts::ReserveCapacity(TaskNeeds free,
+                                    RoomPromises& reservations,
+                                    MonoTime now) {
+  std::set<const Contact*> notified;
+  for (const Candidate& candidate : CandidatesInOrder()) {
     Contact& contact = *candidate.contact;
-    const bool first = !told.contains(&contact);
-    if (first && Fits(contact.wanted[candidate.position].needs, free)) {
-      const TaskNeeds needs = contact.wanted[candidate.position].needs;
+    const bool first = !notified.contains(&contact);
+    if (first && Fits(contact.requests[candidate.position].needs, free)) {
+      const TaskNeeds needs = contact.requests[candidate.position].needs;
       Subtract(free, needs);
-      promises.Make(*candidate.entry, needs, now);
+      reservations.Make(*candidate.entry, needs, now);
       contact.report_due = true;
-      told.insert(&contact);
+      notified.insert(&contact);
       TakeTurn(contact, candidate.position);
     }
   }
 }
 
-// Weighted fair queueing: an entry with ten times as many tasks waiting gets
-// ten turns for one of the other.
+// Weighted fair queueing: an entry with ten times as many waiting tasks as
+// another one gets ten turns for each turn of that one.
 void EntryContacts::TakeTurn(Contact& contact, size_t position) {
-  RoomWanted& wanted = contact.wanted[position];
-  m_turn = std::max(m_turn, contact.turn);
-  contact.turn = m_turn + 1.0 / std::max(wanted.tasks, 1u);
-  if (wanted.tasks <= 1) {
-    contact.wanted.erase(contact.wanted.begin() +
-                         static_cast<ptrdiff_t>(position));
+  RoomWanted& request = contact.requests[position];
+  m_last_turn = std::max(m_last_turn, contact.turn);
+  contact.turn = m_last_turn + 1.0 / std::max(request.tasks, 1u);
+  if (request.tasks <= 1) {
+    contact.requests.erase(contact.requests.begin() +
+                           static_cast<ptrdiff_t>(position));
   } else {
-    --wanted.tasks;
+    --request.tasks;
   }
 }
 
-bool EntryContacts::AnyWantsRoom() const {
+bool EntryContacts::HasCapacityRequests() const {
   return std::any_of(
       m_contacts.begin(), m_contacts.end(),
-      [](const auto& named) { return !named.second.wanted.empty(); });
+      [](const auto& named) { return !named.second.requests.empty(); });
 }
 
 std::vector<SendRunMessage> EntryContacts::TakeDue(
@@ -172,12 +177,12 @@
       continue;
     }
     contact.report_due = false;
-    RunReports told{.clock_ms = absl::ToInt64Milliseconds(now),
-                    .worker = status,
-                    .reports = std::exchange(contact.reports, {})};
-    told.worker.started_through = contact.started_through;
-    told.worker.free = free_for(name);
-    due.push_back({name, contact.incarnation, std::move(told)});
+    RunReports message{.clock_ms = absl::ToInt64Milliseconds(now),
+                       .worker = status,
+                       .reports = std::exchange(contact.reports, {})};
+    message.worker.started_through = contact.started_through;
+    message.worker.free = free_for(name);
+    due.push_back({name, contact.incarnation, std::move(message)});
   }
   return due;
 }
--- a/src/entry_contacts.h
+++ b/src/entry_contacts.h
@@ -1,7 +1,7 @@
-// The entries that an agent is linked to, or still has runs of: how long each
-// has been silent, and what it is yet to be told.
+// The entries that an agent is linked to or still has runs of: when each last
+// sent a message, and which reports are still to be sent to it.
 //
-//   contacts.LinkUp("entry-1", 77);
+//   contacts.RecordConnected("entry-1", 77);
 //   contacts.Report("entry-1", {.task = 5c0e/0/0, .end = RunEnd::kDone});
 //   contacts.TakeDue(status, now)  -> [SendRunMessage{entry-1, RunReports}]
 #ifndef EGRETSWITCH_SRC_ENTRY_CONTACTS_H_
@@ -21,41 +21,44 @@
 
 class EntryContacts {
  public:
-  // True when this replaces another incarnation of the entry, whose runs nobody
-  // answers for any more.
-  bool LinkUp(const std::string& entry, uint64_t incarnation);
-  // False when the link was to another incarnation than the present one.
-  bool LinkDown(const std::string& entry, uint64_t incarnation);
-  // For an entry without a link and without runs.
-  void Forget(const std::string& entry) { m_contacts.erase(entry); }
+  // Returns true if this replaces another incarnation of the entry, whose runs
+  // then no longer have an owner.
+  bool RecordConnected(const std::string& entry, uint64_t incarnation);
+  // Returns false if the link was to another incarnation than the present one.
+  bool RecordDisconnected(const std::string& entry, uint64_t incarnation);
+  // The entry must have no link and no runs.
+  void Remove(const std::string& entry) { m_contacts.erase(entry); }
 
-  bool Knows(const std::string& entry, uint64_t incarnation) const;
+  bool HasIncarnation(const std::string& entry, uint64_t incarnation) const;
 
-  // A word that the entry sent at this moment of the agent's clock.
-  void HeardFrom(const std::string& entry, int64_t sent_at_ms);
-  void StartedThrough(const std::string& entry, uint64_t sequence);
-  // The entry is told as soon as there is room for what it wants, the most
-  // urgent first; in place of what it wanted before.
-  void WantsRoom(const std::string& entry,
-                 const std::vector<RoomWanted>& wanted);
-  // Besides what it wants already.
-  void WantsRoomToo(const std::string& entry, const RoomWanted& wanted);
+  // Records a message that the entry sent at this time of the agent's clock.
+  void RecordMessage(const std::string& entry, int64_t sent_at_ms);
+  void SetStartedThrough(const std::string& entry, uint64_t sequence);
+  // Replaces the entry's capacity requests, ordered by urgency, most urgent
+  // first. The entry is notified as soon as there is free capacity for them.
+  void SetCapacityRequests(const std::string& entry,
+                           const std::vector<RoomWanted>& requests);
+  // Adds to the entry's requests, unless it has one of the same urgency.
+  void AddCapacityRequest(const std::string& entry, const RoomWanted& request);
 
-  // When the entry's silence ends its runs; infinite: it is not known.
-  MonoTime SilentFrom(const std::string& entry) const;
+  // The time at which the entry's runs are stopped if no further message
+  // arrives; infinite if the entry is not recorded.
+  MonoTime RunsExpireAt(const std::string& entry) const;
 
   void Report(const std::string& entry, const RunReport& report);
-  void TellSoon(const std::string& entry);
-  void TellEveryone();
-  // Whether any entry wants room.
-  bool AnyWantsRoom() const;
-  // Tells as many of those that want room as `free` is enough for, and promises
-  // it to each: the most urgent first, equals in turn, and those that want more
-  // more often.
-  void NoticeRoom(TaskNeeds free, RoomPromises& promises, MonoTime now);
+  void ScheduleReport(const std::string& entry);
+  void ScheduleReportToAll();
+  // Whether any entry has capacity requests.
+  bool HasCapacityRequests() const;
+  // Reserves `free` for as many of the requests as it suffices for, and
+  // schedules a report to each of their entries: the most urgent first, equally
+  // urgent ones by weighted fair queueing.
+  void ReserveCapacity(TaskNeeds free,
+                       RoomPromises& reservations,
+                       MonoTime now);
 
-  // One message for each linked entry that is to be told something.
-  // `free_for` gives the worker's room as that entry may use it.
+  // Returns one message for each linked entry with a report due. `free_for`
+  // returns the worker's free capacity that the entry may use.
   std::vector<SendRunMessage> TakeDue(
       const WorkerStatus& status,
       absl::FunctionRef<TaskNeeds(const std::string& entry)> free_for,
@@ -65,28 +68,28 @@
   struct Contact {
     uint64_t incarnation = 0;
     bool linked = false;
-    MonoTime last_word = absl::ZeroDuration();  // sent, not received
+    MonoTime last_sent_at = absl::ZeroDuration();  // of its latest message
     uint64_t started_through = 0;
-    std::vector<RoomWanted> wanted;  // by urgency; none: it wants no room
-    double turn = 0;                 // the lowest is told next
-    uint64_t wanted_from = 0;        // of equal turns, the one that asked first
+    std::vector<RoomWanted> requests;  // by urgency
+    double turn = 0;  // virtual finish time; the lowest is served next
+    uint64_t queue_number = 0;  // of equal turns, the lowest is first
     bool report_due = false;
     std::vector<RunReport> reports;
   };
 
-  // An entry whose tasks of this urgency may be told of room.
+  // One capacity request of an entry.
   struct Candidate {
     const std::string* entry = nullptr;
     Contact* contact = nullptr;
-    size_t position = 0;  // in what it wants
+    size_t position = 0;  // in `requests`
   };
-  std::vector<Candidate> InOrder();
-  static void NoteWant(Contact& contact, double turn, uint64_t number);
+  std::vector<Candidate> CandidatesInOrder();
+  static void JoinQueue(Contact& contact, double turn, uint64_t number);
   void TakeTurn(Contact& contact, size_t position);
 
   std::map<std::string, Contact> m_contacts;
-  double m_turn = 0;  // of the entry that was told last
-  uint64_t m_wants = 0;
+  double m_last_turn = 0;  // of the entry that was served last
+  uint64_t m_last_queue_number = 0;
 };
 
 }  // namespace egretswitch::internal
--- a/src/managed_run.cc
+++ b/src/managed_run.cc
@@ -1,6 +1,6 @@
-// A start without an answer may still be carried out seconds later. The stop
-// makes the worker refuse that run number from then on, so once it is answered
-// the run is certainly over.
+// A start without an answer may still be carried out seconds later. A stop
+// makes the worker refuse that run number from then on, so the run is certainly
+// over once the stop is answered.
 #include "managed_run.h"
 
 #include <algorithm>
@@ -9,48 +9,50 @@
 
 namespace egretswitch::internal {
 
-void ManagedRun::NoteCall(MonoTime now) {
-  ++calls;
-  ++calls_open;
-  next_call = now + kStartRetry;
+void ManagedRun::RecordStartCall(MonoTime now) {
+  ++start_calls;
+  ++start_calls_pending;
+  next_start_call = now + kStartRetry;
 }
 
-bool ManagedRun::MayCallAgain() const {
-  return state == State::kStarting && calls < kMaxStartCalls;
+bool ManagedRun::MayRetryStart() const {
+  return state == State::kStarting && start_calls < kMaxStartCalls;
 }
 
-// Only when each call was refused has the run certainly never started: a lost
-// one may have started it, and then the worker refuses the next one as old.
-ManagedRun::StartOutcome ManagedRun::NoteStartAnswer(CallVerdict verdict,
-                                               MonoTime now) {
-  calls_open -= std::min(calls_open, 1u);
+// The run has certainly never started only if each call was refused: a lost
+// call may have started it, in which case the worker refuses the next one as
+// old.
+ManagedRun::StartOutcome ManagedRun::RecordStartAnswer(CallVerdict verdict,
+                                                       MonoTime now) {
+  start_calls_pending -= std::min(start_calls_pending, 1u);
   if (verdict == CallVerdict::kDone) {
     if (state != State::kStarting) {
-      return StartOutcome::kOpen;
+      return StartOutcome::kPending;
     }
     state = State::kRunning;
-    since = now;
+    state_since = now;
     started_at = now;
     spec.clear();
     return StartOutcome::kStarted;
   }
   if (verdict == CallVerdict::kUnknown) {
-    ++calls_lost;
+    ++start_calls_lost;
   } else {
     refusal = verdict;
   }
-  const bool in_doubt = state == State::kStarting || state == State::kStopping;
-  if (calls_open > 0 || !in_doubt) {
-    return StartOutcome::kOpen;
+  const bool unresolved =
+      state == State::kStarting || state == State::kStopping;
+  if (start_calls_pending > 0 || !unresolved) {
+    return StartOutcome::kPending;
   }
-  if (calls_lost == 0) {
+  if (start_calls_lost == 0) {
     return StartOutcome::kRefused;
   }
   if (state == State::kStopping) {
-    return StartOutcome::kOpen;
+    return StartOutcome::kPending;
   }
   state = State::kUnknown;
-  since = now;
+  state_since = now;
   return StartOutcome::kUnknown;
 }
 
@@ -60,26 +62,26 @@
   next_stop = now + kStopRetry;
 }
 
-void ManagedRun::NoteStopAnswered(MonoTime now) {
+void ManagedRun::RecordStopAnswer(MonoTime now) {
   stop_answered = true;
   stop_answered_at = now;
 }
 
-// A list says nothing of what the worker was told after it was asked for it.
-ManagedRun::ListOutcome ManagedRun::NoteList(bool listed,
-                                       MonoTime requested_at,
-                                       MonoTime now) {
+// A list does not reflect calls that were made after it was requested.
+ManagedRun::ListOutcome ManagedRun::ReconcileWithList(bool listed,
+                                                      MonoTime requested_at,
+                                                      MonoTime now) {
   begun = begun || listed;
   if (state == State::kUnknown && listed) {
     state = State::kRunning;
-    since = now;
+    state_since = now;
     return ListOutcome::kKeep;
   }
-  if (state == State::kUnknown && requested_at > since) {
+  if (state == State::kUnknown && requested_at > state_since) {
     return ListOutcome::kStop;
   }
-  if (state == State::kRunning && !listed && requested_at > since) {
-    return ListOutcome::kGone;
+  if (state == State::kRunning && !listed && requested_at > state_since) {
+    return ListOutcome::kEnded;
   }
   if (state == State::kStopping && !listed && stop_answered &&
       requested_at > stop_answered_at) {
@@ -88,7 +90,7 @@
   return ListOutcome::kKeep;
 }
 
-bool ManagedRun::Doubtful() const {
+bool ManagedRun::NeedsList() const {
   return state == State::kUnknown ||
          (state == State::kStopping && stop_answered);
 }
--- a/src/managed_run.h
+++ b/src/managed_run.h
@@ -1,4 +1,5 @@
-// One run that an agent answers for, from the order to start it to its end.
+// State machine of one run that an agent manages, from the start order to the
+// run's end.
 //
 //   starting --answered--> running --listed as ended--> reported
 //       \--no answer--> unknown --listed as running--> running
@@ -17,63 +18,66 @@
 
 struct ManagedRun {
   enum class State : uint8_t {
-    kStarting,  // calls to start it are under way
-    kUnknown,   // none got an answer: the next look tells
+    kStarting,  // start calls are in flight
+    kUnknown,   // no start call was answered; the next poll resolves it
     kRunning,
-    kStopping,  // a stop was decided; the run counts until its end is seen
+    kStopping,  // being stopped; uses capacity until its end is confirmed
   };
 
-  // What the answers to the calls to start it have come to.
+  // The combined result of the answers to the start calls so far.
   enum class StartOutcome : uint8_t {
-    kOpen = 0,  // nothing new
+    kPending = 0,  // no change
     kStarted,
-    kRefused,  // by each call: it never started
-    kUnknown,  // it may have started, or may be started later
+    kRefused,  // each call was refused: the run never started
+    kUnknown,  // the run may have started, or may still start
   };
 
-  // What a list of the worker's runs says of this one.
+  // What follows for this run from a list of the worker's runs.
   enum class ListOutcome : uint8_t {
     kKeep = 0,
-    kStop,  // the start was not carried out, and must not be any more
-    kGone,  // it ran, and has ended unseen
-    kStopped,
+    kStop,     // the start was not carried out, and must not be later
+    kEnded,    // it ran, and its end was not reported
+    kStopped,  // the stop is confirmed
   };
 
   std::string entry;
-  uint64_t attempt = 0;  // the entry's, at the job
+  uint64_t attempt = 0;  // number of the entry's attempt at the job
   TaskNeeds needs;
-  std::string spec;  // until the start is answered
+  std::string spec;  // cleared when the start is confirmed
   State state = State::kStarting;
-  absl::Duration suspect_for = absl::ZeroDuration();  // from its start on
-  bool begun = false;  // the present life of the worker has said so
-  MonoTime since = absl::ZeroDuration();       // of the state
-  MonoTime started_at = absl::ZeroDuration();  // ordered, until it is answered
+  absl::Duration suspect_for = absl::ZeroDuration();  // from started_at
+  bool begun = false;  // confirmed by the worker's present incarnation
+  MonoTime state_since = absl::ZeroDuration();
+  // The time of the answer to the start; of the order until it is answered.
+  MonoTime started_at = absl::ZeroDuration();
 
-  uint32_t calls = 0;       // to start it
-  uint32_t calls_open = 0;  // of these, neither answered nor given up
-  uint32_t calls_lost = 0;  // of these, given up: may be carried out late
-  CallVerdict refusal = CallVerdict::kRefused;  // the last one
-  MonoTime next_call = absl::ZeroDuration();
+  uint32_t start_calls = 0;
+  uint32_t start_calls_pending = 0;  // neither answered nor timed out
+  uint32_t start_calls_lost = 0;     // timed out: may still be carried out late
+  CallVerdict refusal = CallVerdict::kRefused;  // of the latest refused call
+  MonoTime next_start_call = absl::ZeroDuration();
 
   bool stop_answered = false;
   MonoTime stop_answered_at = absl::ZeroDuration();
   MonoTime next_stop = absl::ZeroDuration();
 
-  // Whether it may crash its worker, as far as its task's former runs tell.
+  // Whether the run may crash its worker, judging by former runs of its task.
   bool Suspect(MonoTime now) const { return now - started_at < suspect_for; }
 
-  // One more call to start it is made now.
-  void NoteCall(MonoTime now);
-  bool MayCallAgain() const;
-  StartOutcome NoteStartAnswer(CallVerdict verdict, MonoTime now);
+  // A further start call is made now.
+  void RecordStartCall(MonoTime now);
+  bool MayRetryStart() const;
+  StartOutcome RecordStartAnswer(CallVerdict verdict, MonoTime now);
 
   void BeginStop(MonoTime now);
-  void NoteStopAnswered(MonoTime now);
+  void RecordStopAnswer(MonoTime now);
 
-  // `requested_at` is when the list was asked for.
-  ListOutcome NoteList(bool listed, MonoTime requested_at, MonoTime now);
-  // Whether only a list can tell what became of it.
-  bool Doubtful() const;
+  // `requested_at` is when the list was requested.
+  ListOutcome ReconcileWithList(bool listed,
+                                MonoTime requested_at,
+                                MonoTime now);
+  // Whether only a list of the worker's runs can resolve this run's state.
+  bool NeedsList() const;
 };
 
 }  // namespace egretswitch::internal
--- a/src/run_events.h
+++ b/src/run_events.h
@@ -1,6 +1,6 @@
-// What happens to the decisions about runs, on the agent's side (RunManager) and
-// on the entry's (JobDispatcher), and what they ask for: their whole interface
-// to the world.
+// What happens to the decisions about runs, on the agent's side (RunManager)
+// and on the entry's (JobDispatcher), and what they ask for: their whole
+// interface to the world.
 //
 //   EntrySaid{entry-1, StartRuns{...}}  ->  [StartCall{...}]
 //   StartAnswered{key, kNoRoom}         ->  [SendRunMessage{entry-1, ...}]
@@ -84,15 +84,15 @@
 };
 
 using RunManagerEvent = std::variant<PeerUp,
-                                    PeerDown,
-                                    PeerSaid,
-                                    TimePassed,
-                                    DrainBegan,
-                                    WorkerAnnounced,
-                                    WorkerWithdrew,
-                                    StartAnswered,
-                                    StopAnswered,
-                                    PollAnswered>;
+                                     PeerDown,
+                                     PeerSaid,
+                                     TimePassed,
+                                     DrainBegan,
+                                     WorkerAnnounced,
+                                     WorkerWithdrew,
+                                     StartAnswered,
+                                     StopAnswered,
+                                     PollAnswered>;
 
 using RunManagerAction = std::
     variant<SendRunMessage, StartCall, StopCall, PollCall, NoteStateChange>;
--- a/src/run_manager.cc
+++ b/src/run_manager.cc
@@ -1,6 +1,6 @@
-// A run begins when an entry asks for it and ends, for the entry, with one
-// RunReport. Between the two the agent is the only one that calls its worker,
-// so what it knows (kept_run.h) is what is.
+// A run begins when an entry requests it, and the entry sees its end as exactly
+// one RunReport. In between only this agent calls the worker, so the recorded
+// state (managed_run.h) is authoritative.
 #include "run_manager.h"
 
 #include <algorithm>
@@ -17,26 +17,26 @@
 RunManagerActions RunManager::Handle(const RunManagerEvent& event, Now now) {
   m_now = now;
   std::visit([this](const auto& happened) { On(happened); }, event);
-  EndRunsOfSilentWorker();
-  LookIfDue();
-  if (Accepting() != m_accepting_told) {
-    TellEveryone();
+  EndRunsOfUnresponsiveWorker();
+  PollIfDue();
+  if (Accepting() != m_reported_accepting) {
+    ReportToAllEntries();
   }
-  NoticeRoom();
+  ReserveFreeCapacity();
   FlushReports();
   return std::exchange(m_actions, {});
 }
 
 MonoTime RunManager::NextWake() const {
-  MonoTime wake = m_looks.NextDue(m_worker, NeedsOfLooks());
-  if (m_entries.AnyWantsRoom()) {
-    wake = std::min(wake, m_promises.NextLapse(m_now.mono));
+  MonoTime wake = m_poller.NextDue(m_worker, CurrentPollNeeds());
+  if (m_entries.HasCapacityRequests()) {
+    wake = std::min(wake, m_reservations.NextLapse(m_now.mono));
   }
   for (const auto& [key, run] : m_runs) {
     if (run.state != ManagedRun::State::kStopping) {
-      wake = std::min(wake, m_entries.SilentFrom(run.entry));
-      wake = std::min(
-          wake, run.MayCallAgain() ? run.next_call : absl::InfiniteDuration());
+      wake = std::min(wake, m_entries.RunsExpireAt(run.entry));
+      wake = std::min(wake, run.MayRetryStart() ? run.next_start_call
+                                                : absl::InfiniteDuration());
     } else if (!run.stop_answered) {
       wake = std::min(wake, run.next_stop);
     }
@@ -45,10 +45,9 @@
 }
 
 // ---- Entries
-// ------------------------------------------------------------------
 
 void RunManager::On(const PeerUp& event) {
-  if (!m_entries.LinkUp(event.name, event.incarnation)) {
+  if (!m_entries.RecordConnected(event.name, event.incarnation)) {
     return;
   }
   for (auto& [key, run] : m_runs) {
@@ -60,20 +59,20 @@
 }
 
 void RunManager::On(const PeerDown& event) {
-  if (!m_entries.LinkDown(event.name, event.incarnation)) {
+  if (!m_entries.RecordDisconnected(event.name, event.incarnation)) {
     return;
   }
-  m_promises.Drop(event.name);
+  m_reservations.Drop(event.name);
   const bool has_runs = std::any_of(
       m_runs.begin(), m_runs.end(),
       [&event](const auto& run) { return run.second.entry == event.name; });
   if (!has_runs) {
-    m_entries.Forget(event.name);
+    m_entries.Remove(event.name);
   }
 }
 
 void RunManager::On(const PeerSaid& event) {
-  if (!m_entries.Knows(event.name, event.incarnation)) {
+  if (!m_entries.HasIncarnation(event.name, event.incarnation)) {
     return;
   }
   if (const auto* start = std::get_if<StartRuns>(&event.body)) {
@@ -84,72 +83,73 @@
     HandleRenew(event.name, *renew);
   } else if (const auto* hint = std::get_if<WorkerHint>(&event.body)) {
     HandleHint(*hint);
-  } else if (const auto* told = std::get_if<Evacuations>(&event.body)) {
-    HandleEvacuations(event.name, *told);
+  } else if (const auto* evacuations = std::get_if<Evacuations>(&event.body)) {
+    HandleEvacuations(event.name, *evacuations);
   }
 }
 
-// Of use only to a process that has not met its worker yet.
+// A hint is used only by an agent process that has no worker and no candidate
+// yet.
 void RunManager::HandleHint(const WorkerHint& hint) {
   const bool idle = !m_worker.identified() && !m_worker.candidate().has_value();
-  if (idle && m_worker.Announce(hint.worker) == AnnouncementOutcome::kLook) {
-    m_actions.push_back(m_looks.TakeFirst(m_worker));
+  if (idle && m_worker.Announce(hint.worker) == AnnouncementOutcome::kPoll) {
+    m_actions.push_back(m_poller.TakeCandidatePoll(m_worker));
   }
 }
 
-// An entry tells its state before its first order, so no order comes here ahead
-// of what its sender knows; and one that knows less than another entry did is
-// turned away.
+// An entry sends its evacuation state before its first order, so no order
+// arrives ahead of its sender's state. An older state than the one that is
+// recorded is ignored.
 void RunManager::HandleEvacuations(const std::string& entry,
-                                  const Evacuations& told) {
-  if (!IsNewer(told, m_evacuations)) {
+                                   const Evacuations& evacuations) {
+  if (!IsNewer(evacuations, m_evacuations)) {
     return;
   }
   const bool was_evacuated = Evacuated();
-  m_evacuations = told;
+  m_evacuations = evacuations;
   if (Evacuated() != was_evacuated) {
     Log(Evacuated() ? "data centre evacuated" : "data centre taken back",
         {{"data_centre", m_data_centre},
-         {"version", absl::StrCat(told.through)},
+         {"version", absl::StrCat(evacuations.through)},
          {"from", entry},
          {"runs", absl::StrCat(m_runs.size())}});
   }
 }
 
 void RunManager::HandleStart(const std::string& entry, const StartRuns& start) {
-  m_entries.StartedThrough(entry, start.sequence);
-  m_entries.HeardFrom(entry, start.sent_at_ms);
+  m_entries.SetStartedThrough(entry, start.sequence);
+  m_entries.RecordMessage(entry, start.sent_at_ms);
   const std::optional<RunEnd> refusal = ReasonNotToStart(start);
-  for (const RunStart& wanted : start.runs) {
+  for (const RunStart& requested : start.runs) {
     if (refusal.has_value()) {
-      Refuse(entry, start, wanted, *refusal);
-    } else if (wanted.suspect_ms > 0 && AnySuspect()) {
-      Refuse(entry, start, wanted, RunEnd::kSuspectBeside);
-    } else if (!Fits(start.needs, FreeFor(entry))) {
-      m_entries.WantsRoomToo(entry, {start.urgency, start.needs, 1});
-      Refuse(entry, start, wanted, RunEnd::kNoRoom);
+      Refuse(entry, start, requested, *refusal);
+    } else if (requested.suspect_ms > 0 && AnySuspect()) {
+      Refuse(entry, start, requested, RunEnd::kSuspectBeside);
+    } else if (!Fits(start.needs, FreeCapacityFor(entry))) {
+      m_entries.AddCapacityRequest(entry, {start.urgency, start.needs, 1});
+      Refuse(entry, start, requested, RunEnd::kNoRoom);
     } else {
-      BeginRun(entry, start, wanted);
+      BeginRun(entry, start, requested);
     }
   }
-  m_promises.Drop(entry);
+  m_reservations.Drop(entry);
 }
 
-// Tasks that were lost in the same crash look alike to every entry. Under the
-// next crash they must not be together again, or a sound one is taken for the
-// one that crashes workers.
+// An entry cannot tell which of the tasks that were lost in one crash caused
+// it. Suspects must not run together again: another crash would again implicate
+// a task that does not crash workers.
 bool RunManager::AnySuspect() const {
-  return std::any_of(m_runs.begin(), m_runs.end(), [this](const auto& kept) {
-    return kept.second.Suspect(m_now.mono);
+  return std::any_of(m_runs.begin(), m_runs.end(), [this](const auto& run) {
+    return run.second.Suspect(m_now.mono);
   });
 }
 
 void RunManager::Refuse(const std::string& entry,
-                       const StartRuns& start,
-                       const RunStart& wanted,
-                       RunEnd end) {
-  Report(entry, {.task = {start.job, start.step, wanted.index},
-                 .run = wanted.run,
+                        const StartRuns& start,
+                        const RunStart& requested,
+                        RunEnd end) {
+  Report(entry, {.task = {start.job, start.step, requested.index},
+                 .run = requested.run,
                  .end = end,
                  .attempt = start.attempt});
 }
@@ -157,8 +157,8 @@
 std::optional<RunEnd> RunManager::ReasonNotToStart(
     const StartRuns& start) const {
   const absl::Duration age = m_now.mono - absl::Milliseconds(start.sent_at_ms);
-  if (!m_worker.identified() || start.worker != m_worker.present().incarnation ||
-      age > kStartFreshness) {
+  if (!m_worker.identified() ||
+      start.worker != m_worker.present().incarnation || age > kStartFreshness) {
     return RunEnd::kStale;
   }
   if (Evacuated()) {
@@ -171,12 +171,12 @@
 }
 
 void RunManager::BeginRun(const std::string& entry,
-                         const StartRuns& start,
-                         const RunStart& wanted) {
-  const RunKey key{{start.job, start.step, wanted.index}, wanted.run};
+                          const StartRuns& start,
+                          const RunStart& requested) {
+  const RunKey key{{start.job, start.step, requested.index}, requested.run};
   if (m_runs.contains(key)) {
-    // Of a former attempt, and on its way to its end.
-    Refuse(entry, start, wanted, RunEnd::kOldNumber);
+    // The key belongs to a run of a former attempt that is about to end.
+    Refuse(entry, start, requested, RunEnd::kOldNumber);
     return;
   }
   ManagedRun& run = m_runs[key];
@@ -184,15 +184,15 @@
   run.attempt = start.attempt;
   run.needs = start.needs;
   run.spec = start.spec;
-  run.since = m_now.mono;
+  run.state_since = m_now.mono;
   run.started_at = m_now.mono;
-  run.suspect_for = absl::Milliseconds(wanted.suspect_ms);
+  run.suspect_for = absl::Milliseconds(requested.suspect_ms);
   m_counters.Add(RunCounter::kRunsStarted);
   CallStart(key, run);
 }
 
 void RunManager::CallStart(const RunKey& key, ManagedRun& run) {
-  run.NoteCall(m_now.mono);
+  run.RecordStartCall(m_now.mono);
   m_actions.push_back(
       StartCall{.worker = m_worker.present().incarnation,
                 .key = key,
@@ -201,16 +201,17 @@
                 .fencing_token = m_worker.fencing_token()});
 }
 
-// The worker does nothing for a run that is there or was there, so a start may
-// be sent again, and an earlier one that is carried out late does no harm.
+// Starts are idempotent: the worker ignores a start for a run that it already
+// has or had. So a start may be repeated, and an earlier one that is carried
+// out late does no harm.
 void RunManager::RepeatStarts() {
   if (m_worker.superseded()) {
-    return;  // the next life would begin what is about to be given up
+    return;  // the next incarnation would start runs that are about to end
   }
   for (auto& [key, run] : m_runs) {
-    if (run.MayCallAgain() && m_now.mono >= run.next_call) {
+    if (run.MayRetryStart() && m_now.mono >= run.next_start_call) {
       m_counters.Add(RunCounter::kStartsRepeated);
-      m_looks.NoteLostCall(m_now.mono);
+      m_poller.RecordLostCall(m_now.mono);
       CallStart(key, run);
     }
   }
@@ -226,8 +227,8 @@
   const RunKey first{{stop.job, 0, 0}, 0};
   for (auto it = m_runs.lower_bound(first);
        it != m_runs.end() && it->first.task.job == stop.job; ++it) {
-    const bool meant = stop.runs.empty() || is_named(it->first);
-    if (meant && it->second.entry == entry &&
+    const bool matches = stop.runs.empty() || is_named(it->first);
+    if (matches && it->second.entry == entry &&
         it->second.state != ManagedRun::State::kStopping) {
       m_counters.Add(RunCounter::kStoppedByEntry);
       StopRun(it->first, it->second, "entry_asked");
@@ -236,23 +237,24 @@
 }
 
 void RunManager::HandleRenew(const std::string& entry, const RenewRuns& renew) {
-  m_entries.HeardFrom(entry, renew.sent_at_ms);
+  m_entries.RecordMessage(entry, renew.sent_at_ms);
   if (!renew.wanted.empty()) {
-    m_entries.WantsRoom(entry, renew.wanted);
+    m_entries.SetCapacityRequests(entry, renew.wanted);
   }
-  ReportThoseNotHeld(entry, renew.ordered_before);
-  m_entries.TellSoon(entry);
+  ReportUntrackedRuns(entry, renew.ordered_before);
+  m_entries.ScheduleReport(entry);
 }
 
-// Nothing of a former link is handled once a new one is up. So an order that
-// has not arrived never will, and a run that is neither held nor remembered is
-// over or has never begun: "stopped" is true of both.
-void RunManager::ReportThoseNotHeld(const std::string& entry,
-                                   const std::vector<OrderedRun>& ordered) {
+// No message of a former link is handled once a new one is up, so an order that
+// has not arrived by now never will. A run that is neither tracked nor among
+// the recent ends is therefore over or has never begun; RunEnd::kStopped is
+// correct for both.
+void RunManager::ReportUntrackedRuns(const std::string& entry,
+                                     const std::vector<OrderedRun>& ordered) {
   for (const OrderedRun& run : ordered) {
-    const auto held = m_runs.find({run.task, run.run});
-    if (held != m_runs.end() && held->second.entry == entry &&
-        held->second.attempt == run.attempt) {
+    const auto tracked = m_runs.find({run.task, run.run});
+    if (tracked != m_runs.end() && tracked->second.entry == entry &&
+        tracked->second.attempt == run.attempt) {
       continue;
     }
     m_counters.Add(RunCounter::kRunsToldAgain);
@@ -265,20 +267,19 @@
   }
 }
 
-void RunManager::StopRunsOfSilentEntries() {
+void RunManager::StopRunsOfUnresponsiveEntries() {
   for (auto& [key, run] : m_runs) {
     if (run.state != ManagedRun::State::kStopping &&
-        m_now.mono >= m_entries.SilentFrom(run.entry)) {
+        m_now.mono >= m_entries.RunsExpireAt(run.entry)) {
       m_counters.Add(RunCounter::kStoppedEntrySilent);
       StopRun(key, run, "entry_silent");
     }
   }
 }
 
-// ---- What the entries are told
-// ------------------------------------------------------
+// ---- Reports to entries
 
-TaskNeeds RunManager::FreeNeeds() const {
+TaskNeeds RunManager::FreeCapacity() const {
   if (!m_worker.identified()) {
     return {};
   }
@@ -289,16 +290,16 @@
   return free;
 }
 
-TaskNeeds RunManager::FreeFor(const std::string& entry) const {
-  TaskNeeds free = FreeNeeds();
-  Subtract(free, m_promises.KeptFrom(entry, m_now.mono));
+TaskNeeds RunManager::FreeCapacityFor(const std::string& entry) const {
+  TaskNeeds free = FreeCapacity();
+  Subtract(free, m_reservations.KeptFrom(entry, m_now.mono));
   return free;
 }
 
 bool RunManager::Accepting() const {
   return m_worker.identified() && !m_worker.superseded() &&
          !m_worker.present().leaving && !m_draining && !Evacuated() &&
-         !m_worker.Silent(m_now.mono) && !m_worker.away();
+         !m_worker.Unresponsive(m_now.mono) && !m_worker.unreachable();
 }
 
 WorkerStatus RunManager::Status() const {
@@ -314,25 +315,25 @@
   return status;
 }
 
-void RunManager::TellEveryone() {
-  m_accepting_told = Accepting();
-  m_entries.TellEveryone();
+void RunManager::ReportToAllEntries() {
+  m_reported_accepting = Accepting();
+  m_entries.ScheduleReportToAll();
 }
 
-// An entry that waits for room hears of it from the ends of its own runs, and
-// an entry without runs here from nobody else: it is told as soon as there is
-// some.
-void RunManager::NoticeRoom() {
+// An entry that waits for capacity sees it when its own runs end. An entry
+// without runs here has no other source than this report, which is sent as soon
+// as capacity is free.
+void RunManager::ReserveFreeCapacity() {
   if (Accepting()) {
-    TaskNeeds free = FreeNeeds();
-    Subtract(free, m_promises.KeptFrom("", m_now.mono));
-    m_entries.NoticeRoom(free, m_promises, m_now.mono);
+    TaskNeeds free = FreeCapacity();
+    Subtract(free, m_reservations.KeptFrom("", m_now.mono));
+    m_entries.ReserveCapacity(free, m_reservations, m_now.mono);
   }
 }
 
 void RunManager::FlushReports() {
   const auto free_for = [this](const std::string& entry) {
-    return FreeFor(entry);
+    return FreeCapacityFor(entry);
   };
   for (SendRunMessage& message :
        m_entries.TakeDue(Status(), free_for, m_now.mono)) {
@@ -341,7 +342,7 @@
 }
 
 void RunManager::On(const TimePassed&) {
-  StopRunsOfSilentEntries();
+  StopRunsOfUnresponsiveEntries();
   RepeatStarts();
   RepeatStops();
 }
@@ -351,8 +352,8 @@
   Log("drain began", {{"runs", absl::StrCat(m_runs.size())}});
 }
 
-void RunManager::Log(std::string_view what, std::vector<NoteField> fields) {
-  m_actions.push_back(NoteStateChange{std::string(what), std::move(fields)});
+void RunManager::Log(std::string_view event, std::vector<NoteField> fields) {
+  m_actions.push_back(NoteStateChange{std::string(event), std::move(fields)});
 }
 
 }  // namespace egretswitch::internal
--- a/src/run_manager.h
+++ b/src/run_manager.h
@@ -1,9 +1,11 @@
-// An agent's decisions: which runs its worker starts, keeps and stops, and what
-// the entries are told of it. No I/O; the shell carries out the actions.
+// The agent's decision logic: which runs its worker starts, continues and
+// stops, and what is reported to the entries. Does no I/O; StepAgentDaemon
+// carries out the actions.
 //
-//   PeerSaid{entry-1, StartRuns{...}}     -> StartCall
-//   PollAnswered{ended: run done}         -> SendRunMessage{entry-1,
-//   RunReports} nothing of entry-1 for kEntrySilence  -> StopCall
+//   PeerSaid{entry-1, StartRuns{...}}          -> StartCall
+//   PollAnswered{ended: run done}              -> SendRunMessage{entry-1,
+//                                                 RunReports}
+//   no message from entry-1 for kEntrySilence  -> StopCall
 #ifndef EGRETSWITCH_SRC_RUN_MANAGER_H_
 #define EGRETSWITCH_SRC_RUN_MANAGER_H_
 
@@ -22,26 +24,27 @@
 #include "room_promises.h"
 #include "run_counters.h"
 #include "run_events.h"
-#include "worker_state.h"
 #include "worker_poller.h"
+#include "worker_state.h"
 
 namespace egretswitch::internal {
 
 class RunManager {
  public:
-  // `data_centre` is the worker's.
+  // `data_centre` is the data centre of the worker.
   explicit RunManager(std::string data_centre = "")
       : m_data_centre(std::move(data_centre)) {}
 
   RunManagerActions Handle(const RunManagerEvent& event, Now now);
 
-  // When TimePassed is next due; infinite: nothing waits for time to pass.
+  // The time at which TimePassed is next due; infinite when no timer is set.
   MonoTime NextWake() const;
 
-  // Drained: nothing runs and nothing new is taken.
+  // True once the drain is complete: no run is left, and no new one is
+  // accepted.
   bool Finished() const { return m_draining && m_runs.empty(); }
 
-  // Whether the worker's data centre gets nothing new.
+  // Whether the worker's data centre is evacuated, so that it gets no new runs.
   bool Evacuated() const { return m_evacuations.Covers(m_data_centre); }
 
   const RunCounters& counters() const { return m_counters; }
@@ -65,34 +68,35 @@
   void HandleStart(const std::string& entry, const StartRuns& start);
   void HandleStop(const std::string& entry, const StopRuns& stop);
   void HandleHint(const WorkerHint& hint);
-  void HandleEvacuations(const std::string& entry, const Evacuations& told);
-  void ReportThoseNotHeld(const std::string& entry,
-                          const std::vector<OrderedRun>& ordered);
+  void HandleEvacuations(const std::string& entry,
+                         const Evacuations& evacuations);
+  void ReportUntrackedRuns(const std::string& entry,
+                           const std::vector<OrderedRun>& ordered);
   void HandleRenew(const std::string& entry, const RenewRuns& renew);
   bool AnySuspect() const;
   std::optional<RunEnd> ReasonNotToStart(const StartRuns& start) const;
   void BeginRun(const std::string& entry,
                 const StartRuns& start,
-                const RunStart& wanted);
+                const RunStart& requested);
 
-  void NoteContradiction(const WorkerAnnouncement& announcement);
-  void NoteRoomChanged();
+  void LogContradiction(const WorkerAnnouncement& announcement);
+  void HandleCapacityChanged();
   void HandleOtherWorker(const PollAnswered& event);
   void AdoptWorker(const PollAnswered& event);
   void EndRunsNotListed(const std::vector<RunKey>& running,
                         const std::string& former,
                         bool crashed);
-  void LoseWorker(RunEnd end, std::string_view why, bool crashed);
-  void HandleFencedLook(const PollAnswered& event);
-  void TakeEnds(const PollAnswer& answer);
+  void HandleWorkerLost(RunEnd end, std::string_view why, bool crashed);
+  void HandleFencedPoll(const PollAnswered& event);
+  void HandleEnds(const PollAnswer& answer);
   void CheckAgainstList(const PollAnswered& event);
-  void StopStrangers(const std::vector<RunKey>& running);
-  void StopRunsOfSilentEntries();
+  void StopUnknownRuns(const std::vector<RunKey>& running);
+  void StopRunsOfUnresponsiveEntries();
   void StopRun(const RunKey& key, ManagedRun& run, std::string_view why);
   void CallStart(const RunKey& key, ManagedRun& run);
   void RepeatStarts();
-  void NoteAnswer(const std::string& worker, const CallAnswer& answer);
-  void NoteAway();
+  void HandleAnswer(const std::string& worker, const CallAnswer& answer);
+  void HandleUnreachable();
   void CallStop(const RunKey& key);
   void RepeatStops();
   void EndRun(Runs::iterator run,
@@ -102,36 +106,36 @@
   void Report(const std::string& entry, const RunReport& report);
   void Refuse(const std::string& entry,
               const StartRuns& start,
-              const RunStart& wanted,
+              const RunStart& requested,
               RunEnd end);
 
-  void EndRunsOfSilentWorker();
-  void LookIfDue();
-  PollNeeds NeedsOfLooks() const;
+  void EndRunsOfUnresponsiveWorker();
+  void PollIfDue();
+  PollNeeds CurrentPollNeeds() const;
 
-  TaskNeeds FreeNeeds() const;
-  // Less what is promised to other entries.
-  TaskNeeds FreeFor(const std::string& entry) const;
+  TaskNeeds FreeCapacity() const;
+  // Excludes the capacity that is reserved for other entries.
+  TaskNeeds FreeCapacityFor(const std::string& entry) const;
   bool Accepting() const;
   WorkerStatus Status() const;
-  void TellEveryone();
-  void NoticeRoom();
+  void ReportToAllEntries();
+  void ReserveFreeCapacity();
   void FlushReports();
-  void Log(std::string_view what, std::vector<NoteField> fields);
+  void Log(std::string_view event, std::vector<NoteField> fields);
 
   const std::string m_data_centre;
   RunManagerActions m_actions;
   Now m_now;
   WorkerState m_worker;
-  WorkerPoller m_looks;
+  WorkerPoller m_poller;
   Runs m_runs;
   EntryContacts m_entries;
   RecentEnds m_recent_ends;
-  RoomPromises m_promises;
+  RoomPromises m_reservations;
   Evacuations m_evacuations;
   RunCounters m_counters;
   bool m_draining = false;
-  bool m_accepting_told = false;
+  bool m_reported_accepting = false;
 };
 
 }  // namespace egretswitch::internal
--- a/src/run_manager_worker.cc
+++ b/src/run_manager_worker.cc
@@ -1,8 +1,8 @@
-// What an agent learns from its worker, by the worker's announcements and by
-// its answers to calls, and what that means for the runs it keeps.
+// Handles the worker's announcements and its answers to calls, and updates the
+// tracked runs accordingly.
 //
 //   PollAnswered{ended: 5c0e/0/0 done}  -> SendRunMessage{entry-1, RunReports}
-//   PollAnswered{other worker}          -> every run has ended as stopped
+//   PollAnswered{other worker}          -> every run has ended as worker lost
 #include <algorithm>
 #include <set>
 #include <string>
@@ -11,8 +11,8 @@
 
 #include "absl/strings/str_cat.h"
 #include "run_ends.h"
-#include "run_manager.h"
 #include "run_limits.h"
+#include "run_manager.h"
 #include "worker_incarnation.h"
 
 namespace egretswitch::internal {
@@ -29,37 +29,37 @@
 void RunManager::On(const WorkerAnnounced& event) {
   const bool was_leaving = m_worker.identified() && m_worker.present().leaving;
   switch (m_worker.Announce(event.announcement)) {
-    case AnnouncementOutcome::kNothingNew:
+    case AnnouncementOutcome::kUnchanged:
       break;
-    case AnnouncementOutcome::kLook:
-      m_actions.push_back(m_looks.TakeFirst(m_worker));
+    case AnnouncementOutcome::kPoll:
+      m_actions.push_back(m_poller.TakeCandidatePoll(m_worker));
       break;
-    case AnnouncementOutcome::kRoomChanged:
-      NoteRoomChanged();
+    case AnnouncementOutcome::kCapacityChanged:
+      HandleCapacityChanged();
       break;
     case AnnouncementOutcome::kContradicts:
-      NoteContradiction(event.announcement);
+      LogContradiction(event.announcement);
   }
   if (m_worker.identified() && m_worker.present().leaving && !was_leaving) {
-    Log("worker leaves", {{"worker", m_worker.present().incarnation},
-                          {"runs", absl::StrCat(m_runs.size())}});
+    Log("worker leaving", {{"worker", m_worker.present().incarnation},
+                           {"runs", absl::StrCat(m_runs.size())}});
   }
 }
 
-void RunManager::NoteRoomChanged() {
+void RunManager::HandleCapacityChanged() {
   const TaskNeeds& capacity = m_worker.present().capacity;
-  const TaskNeeds free = FreeNeeds();
-  Log("worker's room changed",
+  const TaskNeeds free = FreeCapacity();
+  Log("worker capacity changed",
       {{"worker", m_worker.present().incarnation},
        {"sequence", absl::StrCat(m_worker.present().sequence)},
        {"millicores", absl::StrCat(capacity.millicores)},
        {"memory_mb", absl::StrCat(capacity.memory_mb)},
        {"free_millicores", absl::StrCat(free.millicores)},
        {"runs", absl::StrCat(m_runs.size())}});
-  TellEveryone();
+  ReportToAllEntries();
 }
 
-void RunManager::NoteContradiction(const WorkerAnnouncement& announcement) {
+void RunManager::LogContradiction(const WorkerAnnouncement& announcement) {
   m_counters.Add(RunCounter::kReportsUnreadable);
   m_actions.push_back(
       NoteStateChange{"worker's report contradicts earlier ones",
@@ -72,9 +72,9 @@
 
 void RunManager::On(const WorkerWithdrew& event) {
   if (m_worker.MayHaveWithdrawn(event.worker_id)) {
-    LoseWorker(RunEnd::kStopped, "withdrew", false);
+    HandleWorkerLost(RunEnd::kStopped, "withdrew", false);
   }
-  m_worker.Forget(event.worker_id);
+  m_worker.Remove(event.worker_id);
 }
 
 void RunManager::AdoptWorker(const PollAnswered& event) {
@@ -82,7 +82,7 @@
   const std::string former =
       m_worker.identified() ? m_worker.present().incarnation : "none";
   const bool crashed = m_worker.identified() && !m_worker.present().leaving;
-  if (!m_worker.HeardFrom(incarnation, event.answer.call, m_now.mono)) {
+  if (!m_worker.RecordAnswer(incarnation, event.answer.call, m_now.mono)) {
     return;
   }
   m_counters.Add(RunCounter::kWorkersAdopted);
@@ -90,18 +90,18 @@
                          {"former", former},
                          {"service", m_worker.present().service},
                          {"kind", m_worker.present().kind}});
-  m_looks.StartOver(m_now.mono);
-  TakeEnds(event.answer);
+  m_poller.Reset(m_now.mono);
+  HandleEnds(event.answer);
   EndRunsNotListed(event.answer.running, former, crashed);
-  TellEveryone();
+  ReportToAllEntries();
 }
 
-// What ran on the former worker is over. A call that was meant for a former
-// life of this one may have been carried out by it, though: what it lists it
-// runs, and a call that comes later is fenced by the token of the look.
+// The former worker's runs are over. But a call that was addressed to a former
+// incarnation may have been carried out by this one, so the runs that it lists
+// continue. Calls that arrive later are fenced by the token of the poll.
 void RunManager::EndRunsNotListed(const std::vector<RunKey>& running,
-                                 const std::string& former,
-                                 bool crashed) {
+                                  const std::string& former,
+                                  bool crashed) {
   const std::set<RunKey> listed(running.begin(), running.end());
   for (auto it = m_runs.begin(); it != m_runs.end();) {
     const auto current = it++;
@@ -112,7 +112,9 @@
   }
 }
 
-void RunManager::LoseWorker(RunEnd end, std::string_view why, bool crashed) {
+void RunManager::HandleWorkerLost(RunEnd end,
+                                  std::string_view why,
+                                  bool crashed) {
   m_counters.Add(RunCounter::kWorkersLost);
   Log("worker lost", {{"worker", m_worker.present().incarnation},
                       {"why", std::string(why)},
@@ -120,49 +122,49 @@
   while (!m_runs.empty()) {
     EndRun(m_runs.begin(), end, why, crashed);
   }
-  m_worker.Forget(std::string(m_worker.present().incarnation));
-  TellEveryone();
+  m_worker.Remove(std::string(m_worker.present().incarnation));
+  ReportToAllEntries();
 }
 
-// A connection that was refused says as little of the worker's health as
-// silence: taken for an answer, it would keep new work coming to a worker that
-// is gone.
-void RunManager::NoteAnswer(const std::string& worker,
-                           const CallAnswer& answer) {
+// A refused connection must not count as an answer: it would keep sending new
+// work to a worker that is down.
+void RunManager::HandleAnswer(const std::string& worker,
+                              const CallAnswer& answer) {
   if (!m_worker.identified() || m_worker.present().incarnation != worker) {
     return;
   }
   switch (answer.verdict) {
     case CallVerdict::kUnknown:
-      m_looks.NoteLostCall(m_now.mono);
+      m_poller.RecordLostCall(m_now.mono);
       return;
     case CallVerdict::kUnreachable:
     case CallVerdict::kOtherWorker:
-      NoteAway();
+      HandleUnreachable();
       return;
     case CallVerdict::kFenced:
-      m_worker.HeardFrom(worker, answer, m_now.mono);
+      m_worker.RecordAnswer(worker, answer, m_now.mono);
       m_worker.RaiseToken(m_now.mono);
       return;
     default:
-      m_worker.HeardFrom(worker, answer, m_now.mono);
+      m_worker.RecordAnswer(worker, answer, m_now.mono);
   }
 }
 
-// The entries are told at once, since it is not accepting any more.
-void RunManager::NoteAway() {
-  if (m_worker.NoteAway()) {
-    Log("worker away", {{"worker", m_worker.present().incarnation},
-                        {"runs", absl::StrCat(m_runs.size())}});
+// Handle() reports the change to the entries at once, since the worker no
+// longer accepts runs.
+void RunManager::HandleUnreachable() {
+  if (m_worker.RecordUnreachable()) {
+    Log("worker unreachable", {{"worker", m_worker.present().incarnation},
+                               {"runs", absl::StrCat(m_runs.size())}});
   }
 }
 
 void RunManager::On(const StartAnswered& event) {
   const CallVerdict verdict = event.answer.verdict;
-  const bool begun =
-      verdict == CallVerdict::kDone &&
-      m_worker.IsOfPresentLife(event.call.worker, event.answer.clock_ms);
-  NoteAnswer(event.call.worker, event.answer);
+  const bool begun = verdict == CallVerdict::kDone &&
+                     m_worker.IsFromPresentIncarnation(event.call.worker,
+                                                       event.answer.clock_ms);
+  HandleAnswer(event.call.worker, event.answer);
   const auto it = m_runs.find(event.call.key);
   if (it == m_runs.end()) {
     return;
@@ -172,86 +174,89 @@
     m_counters.Add(RunCounter::kStartsUnknown);
   }
   ManagedRun& run = it->second;
-  switch (run.NoteStartAnswer(verdict, m_now.mono)) {
+  switch (run.RecordStartAnswer(verdict, m_now.mono)) {
     case ManagedRun::StartOutcome::kRefused:
       EndRun(it, EndOfRefusal(run.refusal), CallVerdictName(run.refusal));
       return;
     case ManagedRun::StartOutcome::kUnknown:
       Log("start unanswered", {{"task", TaskText(it->first.task)},
                                {"run", absl::StrCat(it->first.run)},
-                               {"calls", absl::StrCat(run.calls)}});
+                               {"calls", absl::StrCat(run.start_calls)}});
       return;
-    case ManagedRun::StartOutcome::kOpen:
+    case ManagedRun::StartOutcome::kPending:
     case ManagedRun::StartOutcome::kStarted:
       return;
   }
 }
 
 void RunManager::On(const StopAnswered& event) {
-  NoteAnswer(event.call.worker, event.answer);
+  HandleAnswer(event.call.worker, event.answer);
   const auto it = m_runs.find(event.call.key);
   if (it != m_runs.end() && event.answer.verdict == CallVerdict::kDone) {
-    it->second.NoteStopAnswered(m_now.mono);
+    it->second.RecordStopAnswer(m_now.mono);
   }
 }
 
 void RunManager::On(const PollAnswered& event) {
   const CallVerdict verdict = event.answer.call.verdict;
-  m_looks.Answered(event.call, verdict, m_now.mono);
+  m_poller.RecordAnswer(event.call, verdict, m_now.mono);
   if (verdict == CallVerdict::kOtherWorker) {
     HandleOtherWorker(event);
     return;
   }
   if (verdict != CallVerdict::kDone) {
     if (verdict == CallVerdict::kFenced) {
-      HandleFencedLook(event);
+      HandleFencedPoll(event);
     } else if (verdict == CallVerdict::kUnreachable) {
-      NoteAnswer(event.call.worker, event.answer.call);
+      HandleAnswer(event.call.worker, event.answer.call);
     }
     return;
   }
   AdoptWorker(event);
-  if (m_worker.identified() && m_worker.present().incarnation == event.call.worker) {
-    TakeEnds(event.answer);
+  if (m_worker.identified() &&
+      m_worker.present().incarnation == event.call.worker) {
+    HandleEnds(event.answer);
     CheckAgainstList(event);
-    StopStrangers(event.answer.running);
+    StopUnknownRuns(event.answer.running);
   }
 }
 
-// A later life of the same worker may have begun what was meant for the former
-// one, so the runs are over only once it has been asked for what it runs.
+// A later incarnation of the same worker may have started runs that were
+// addressed to the former one, so the runs end only after that incarnation has
+// been polled for its list.
 void RunManager::HandleOtherWorker(const PollAnswered& event) {
   const CallAnswer& answer = event.answer.call;
   const std::string& called = event.call.worker;
   if (IsEarlierIncarnation(called, answer.incarnation)) {
-    if (m_worker.NoteNewLife(called, answer.incarnation, answer.clock_ms)) {
-      Log("worker started again", {{"worker", answer.incarnation},
-                                   {"former", called},
-                                   {"runs", absl::StrCat(m_runs.size())}});
-      m_actions.push_back(m_looks.TakeFirst(m_worker));
+    if (m_worker.RecordNewIncarnation(called, answer.incarnation,
+                                      answer.clock_ms)) {
+      Log("worker restarted", {{"worker", answer.incarnation},
+                               {"former", called},
+                               {"runs", absl::StrCat(m_runs.size())}});
+      m_actions.push_back(m_poller.TakeCandidatePoll(m_worker));
     }
     return;
   }
   if (IsEarlierIncarnation(answer.incarnation, called)) {
-    return;  // said before the present life began
+    return;  // sent before the present incarnation started
   }
   if (m_worker.identified() && m_worker.present().incarnation == called) {
-    LoseWorker(RunEnd::kWorkerLost, "other_worker_answers",
-               !m_worker.present().leaving);
+    HandleWorkerLost(RunEnd::kWorkerLost, "other_worker_answers",
+                     !m_worker.present().leaving);
   }
-  m_worker.Forget(called);
+  m_worker.Remove(called);
 }
 
-void RunManager::HandleFencedLook(const PollAnswered& event) {
-  if (m_worker.NoteFenced(event.call.worker, event.answer.call)) {
-    m_actions.push_back(m_looks.TakeFirst(m_worker));
+void RunManager::HandleFencedPoll(const PollAnswered& event) {
+  if (m_worker.RecordFenced(event.call.worker, event.answer.call)) {
+    m_actions.push_back(m_poller.TakeCandidatePoll(m_worker));
     return;
   }
   m_worker.RaiseToken(m_now.mono);
 }
 
-void RunManager::TakeEnds(const PollAnswer& answer) {
-  for (const EndedRun& ended : m_looks.TakeNewEnds(answer)) {
+void RunManager::HandleEnds(const PollAnswer& answer) {
+  for (const EndedRun& ended : m_poller.TakeNewEnds(answer)) {
     const auto it = m_runs.find(ended.key);
     if (it != m_runs.end()) {
       const std::string_view why =
@@ -261,8 +266,8 @@
   }
 }
 
-// Compares with the list of what runs those runs that the worker had been told
-// of before it was asked.
+// Compares the tracked runs with the worker's list. Only runs that were ordered
+// before the list was requested are affected.
 void RunManager::CheckAgainstList(const PollAnswered& event) {
   const std::set<RunKey> listed(event.answer.running.begin(),
                                 event.answer.running.end());
@@ -270,13 +275,13 @@
     const auto current = it++;
     ManagedRun& run = current->second;
     const bool is_listed = listed.contains(current->first);
-    switch (run.NoteList(is_listed, event.requested_at, m_now.mono)) {
+    switch (run.ReconcileWithList(is_listed, event.requested_at, m_now.mono)) {
       case ManagedRun::ListOutcome::kKeep:
         break;
       case ManagedRun::ListOutcome::kStop:
         StopRun(current->first, run, "start_unanswered");
         break;
-      case ManagedRun::ListOutcome::kGone:
+      case ManagedRun::ListOutcome::kEnded:
         EndRun(current, RunEnd::kStopped, "not_listed");
         break;
       case ManagedRun::ListOutcome::kStopped:
@@ -286,20 +291,22 @@
   }
 }
 
-// What runs without being known here was started by a former agent process, or
-// by a call that was carried out late: no entry waits for its end.
-void RunManager::StopStrangers(const std::vector<RunKey>& running) {
+// A listed run that is not tracked was started by a former agent process or by
+// a call that was carried out late. No entry waits for its end.
+void RunManager::StopUnknownRuns(const std::vector<RunKey>& running) {
   for (const RunKey& key : running) {
     if (!m_runs.contains(key)) {
       m_counters.Add(RunCounter::kStoppedStranger);
-      Log("stranger stopped",
+      Log("unknown run stopped",
           {{"task", TaskText(key.task)}, {"run", absl::StrCat(key.run)}});
       CallStop(key);
     }
   }
 }
 
-void RunManager::StopRun(const RunKey& key, ManagedRun& run, std::string_view why) {
+void RunManager::StopRun(const RunKey& key,
+                         ManagedRun& run,
+                         std::string_view why) {
   run.BeginStop(m_now.mono);
   Log("run stopped", {{"task", TaskText(key.task)},
                       {"run", absl::StrCat(key.run)},
@@ -325,9 +332,9 @@
 }
 
 void RunManager::EndRun(Runs::iterator run,
-                       RunEnd end,
-                       std::string_view why,
-                       bool worker_crashed) {
+                        RunEnd end,
+                        std::string_view why,
+                        bool worker_crashed) {
   const bool ran = !NeverStarted(end);
   const absl::Duration lasted = m_now.mono - run->second.started_at;
   RunReport report{.task = run->first.task,
@@ -361,29 +368,29 @@
   m_entries.Report(entry, report);
 }
 
-// ---- Looks
-// ------------------------------------------------------------------------
+// ---- Polls
 
-PollNeeds RunManager::NeedsOfLooks() const {
+PollNeeds RunManager::CurrentPollNeeds() const {
   const bool list =
       std::any_of(m_runs.begin(), m_runs.end(),
-                  [](const auto& kept) { return kept.second.Doubtful(); });
+                  [](const auto& run) { return run.second.NeedsList(); });
   return {.runs = !m_runs.empty(), .list = list};
 }
 
-// What runs on a worker that has long been silent has ended by itself once its
-// lease is over: only then may the entries run it elsewhere.
-void RunManager::EndRunsOfSilentWorker() {
-  const bool over = m_worker.identified() && m_worker.Silent(m_now.mono) &&
-                    m_worker.CertainlyOver(m_now.mono);
+// The runs of an unresponsive worker end by themselves when its lease expires.
+// Only then may the entries start them elsewhere.
+void RunManager::EndRunsOfUnresponsiveWorker() {
+  const bool over = m_worker.identified() &&
+                    m_worker.Unresponsive(m_now.mono) &&
+                    m_worker.AllLeasesExpired(m_now.mono);
   while (over && !m_runs.empty()) {
     EndRun(m_runs.begin(), RunEnd::kWorkerLost, "worker_silent");
   }
 }
 
-void RunManager::LookIfDue() {
+void RunManager::PollIfDue() {
   for (const PollCall& call :
-       m_looks.TakeDue(m_worker, NeedsOfLooks(), m_now.mono)) {
+       m_poller.TakeDue(m_worker, CurrentPollNeeds(), m_now.mono)) {
     m_actions.push_back(call);
   }
 }
--- a/src/step_agent_daemon.cc
+++ b/src/step_agent_daemon.cc
@@ -14,8 +14,8 @@
 namespace egretswitch::internal {
 namespace {
 
-// The platform grants 6 s after SIGTERM.
-constexpr absl::Duration kLongestDrain = absl::Milliseconds(5600);
+// The platform grants 6 s for the shutdown after SIGTERM.
+constexpr absl::Duration kMaxDrain = absl::Milliseconds(5600);
 constexpr uint32_t kMaxConnections = 64;
 constexpr size_t kMaxBodyBytes = 4u << 20;
 
@@ -34,7 +34,7 @@
       m_platform(std::move(platform)),
       m_self(MakeHello(common, ProcessRole::kAgent)),
       m_hub(loop, MakeHubOptions(common, m_self), MakeHubEvents()),
-      m_keeper(common.data_centre),
+      m_run_manager(common.data_centre),
       m_wake(loop, [this] { Deliver(TimePassed{}); }),
       m_announcer(TimersOf(loop),
                   m_platform.store,
@@ -59,51 +59,53 @@
 }
 
 absl::Status StepAgentDaemon::Start() {
-  auto news = Serve(m_settings.announcements_listen,
-                    [this](const HttpRequest& request, Responder responder) {
-                      OnNews(request, responder);
-                    });
-  auto metrics =
+  auto worker_server =
+      Serve(m_settings.announcements_listen,
+            [this](const HttpRequest& request, Responder responder) {
+              HandleWorkerRequest(request, responder);
+            });
+  auto metrics_server =
       Serve(m_common.metrics_listen,
             [this](const HttpRequest&, const Responder& responder) {
               responder.Answer({.body = Metrics(),
                                 .content_type = "text/plain; version=0.0.4"});
             });
-  absl::Status status = news.status();
-  status.Update(metrics.status());
+  absl::Status status = worker_server.status();
+  status.Update(metrics_server.status());
   status.Update(m_hub.Listen());
   if (!status.ok()) {
     return status;
   }
-  m_news = *std::move(news);
-  m_metrics = *std::move(metrics);
+  m_worker_server = *std::move(worker_server);
+  m_metrics_server = *std::move(metrics_server);
   m_announcer.Start();
   return absl::OkStatus();
 }
 
-void StepAgentDaemon::OnNews(const HttpRequest& request,
-                             const Responder& responder) {
-  const std::optional<WorkerUpdates> news = m_platform.decode_updates(request);
-  if (!news.has_value()) {
+void StepAgentDaemon::HandleWorkerRequest(const HttpRequest& request,
+                                          const Responder& responder) {
+  const std::optional<WorkerUpdates> update =
+      m_platform.decode_updates(request);
+  if (!update.has_value()) {
     responder.Answer(JsonError(kNotFound, "no such call"));
     return;
   }
-  if (news->withdrawn) {
-    Deliver(WorkerWithdrew{news->worker_id});
+  if (update->withdrawn) {
+    Deliver(WorkerWithdrew{update->worker_id});
     responder.Answer({.body = "{}"});
     return;
   }
-  if (!news->announcement.ok()) {
-    const std::string reason(news->announcement.status().message());
+  if (!update->announcement.ok()) {
+    const std::string reason(update->announcement.status().message());
     m_counters.Add(RunCounter::kReportsUnreadable);
     LogStateChange(LogLevel::kError,
                    {"worker's report unreadable",
-                    {{"worker", news->worker_id}, {"reason", reason}},
+                    {{"worker", update->worker_id}, {"reason", reason}},
                     true});
     responder.Answer(JsonError(kBadRequest, reason));
     return;
   }
-  Deliver(WorkerAnnounced{*news->announcement});
+  Deliver(WorkerAnnounced{*update->announcement});
   responder.Answer({.body = "{}"});
 }
 
@@ -133,46 +135,48 @@
 std::string StepAgentDaemon::Metrics() const {
   MetricsText text;
   text.AddGauge("runs", "Runs on the worker beside this agent.",
-                static_cast<double>(m_keeper.runs()));
+                static_cast<double>(m_run_manager.runs()));
   text.AddGauge("worker_known", "Whether the worker has been met.",
-                m_keeper.worker().identified() ? 1 : 0);
+                m_run_manager.worker().identified() ? 1 : 0);
   text.AddGauge("evacuated", "Whether the worker's data centre is evacuated.",
-                m_keeper.Evacuated() ? 1 : 0);
+                m_run_manager.Evacuated() ? 1 : 0);
   for (size_t i = 0; i < static_cast<size_t>(RunCounter::kCount); ++i) {
     const auto counter = static_cast<RunCounter>(i);
-    text.AddCounter(RunCounterName(counter), "Events of this process.",
-                    m_keeper.counters().Get(counter) + m_counters.Get(counter));
+    text.AddCounter(
+        RunCounterName(counter), "Events of this process.",
+        m_run_manager.counters().Get(counter) + m_counters.Get(counter));
   }
   return text.Take();
 }
 
 void StepAgentDaemon::BeginDrain() {
   Deliver(DrainBegan{});
-  m_loop.RunAfter(kLongestDrain, [this] { m_loop.Stop(); });
+  m_loop.RunAfter(kMaxDrain, [this] { m_loop.Stop(); });
 }
 
 void StepAgentDaemon::Deliver(const RunManagerEvent& event) {
   const RunManagerActions actions =
-      m_keeper.Handle(event, EventLoop::ReadClocks());
+      m_run_manager.Handle(event, EventLoop::ReadClocks());
   for (const RunManagerAction& action : actions) {
-    std::visit([this](const auto& wanted) { Perform(wanted); }, action);
+    std::visit([this](const auto& requested) { Perform(requested); }, action);
   }
-  m_wake.Arm(m_keeper.NextWake());
+  m_wake.Arm(m_run_manager.NextWake());
   RecordWorker();
   FlushLog();
-  if (m_keeper.Finished()) {
-    // The last reports leave in this turn of the loop.
+  if (m_run_manager.Finished()) {
+    // The last reports are sent in this turn of the loop.
     m_loop.RunAfter(absl::Milliseconds(20), [this] { m_loop.Stop(); });
   }
 }
 
-// The record of this process tells its successor of the worker: when it meets
-// another one, when the worker begins to leave, and when its room changes.
+// This process's record in the store names the worker to its successor. It is
+// updated when another worker is adopted, when the worker begins to leave, and
+// when its capacity changes.
 void StepAgentDaemon::RecordWorker() {
-  if (!m_keeper.worker().identified()) {
+  if (!m_run_manager.worker().identified()) {
     return;
   }
-  const WorkerAnnouncement& worker = m_keeper.worker().present();
+  const WorkerAnnouncement& worker = m_run_manager.worker().present();
   if (worker.incarnation != m_recorded.incarnation ||
       worker.leaving != m_recorded.leaving ||
       worker.capacity != m_recorded.capacity) {
--- a/src/step_agent_daemon.h
+++ b/src/step_agent_daemon.h
@@ -1,7 +1,8 @@
-// The shell around a RunManager: links to entries, the worker beside this
-// process, the store. Everything happens on the event loop's thread.
+// The agent process: does the I/O for a RunManager, which are the links to
+// entries, the calls to the worker beside this process and the store.
+// Everything runs on the event loop's thread.
 //
-//   link: StartRuns -> PeerSaid -> keeper -> StartCall -> worker
+//   link: StartRuns -> PeerSaid -> RunManager -> StartCall -> worker
 #ifndef EGRETSWITCH_SRC_STEP_AGENT_DAEMON_H_
 #define EGRETSWITCH_SRC_STEP_AGENT_DAEMON_H_
 
@@ -23,19 +24,20 @@
 
 namespace egretswitch::internal {
 
-// A worker's report of itself, or its word that it ends.
+// A worker's announcement of itself, or its message that it ends.
 struct WorkerUpdates {
   std::string worker_id;
   bool withdrawn = false;
   absl::StatusOr<WorkerAnnouncement> announcement;
 };
 
-// The platform, as an agent needs it; all must outlive the daemon.
+// The platform's interfaces that an agent uses; all must outlive the daemon.
 struct AgentPlatform {
   WorkerCalls& worker;
   KeyedStore& store;
-  // Nullopt for a request that is no news of a worker.
-  std::function<std::optional<WorkerUpdates>(const HttpRequest&)> decode_updates;
+  // Returns nullopt for a request that is not a worker's update.
+  std::function<std::optional<WorkerUpdates>(const HttpRequest&)>
+      decode_updates;
 };
 
 class StepAgentDaemon {
@@ -46,10 +48,10 @@
                   AgentPlatform platform);
   ~StepAgentDaemon();
 
-  // Opens every port of the settings. The error names the address.
+  // Opens every port in the settings. An error names the address.
   absl::Status Start();
 
-  // Begins a graceful shutdown; the loop stops when it is complete.
+  // Begins a graceful shutdown; the loop stops once it is complete.
   void BeginDrain();
 
  private:
@@ -57,7 +59,8 @@
       const IpPort& address,
       HttpServer::Handler handler);
   LinkHubEvents MakeHubEvents();
-  void OnNews(const HttpRequest& request, const Responder& responder);
+  void HandleWorkerRequest(const HttpRequest& request,
+                           const Responder& responder);
   std::string Metrics() const;
 
   void RecordWorker();
@@ -74,13 +77,13 @@
   const AgentPlatform m_platform;
   const Hello m_self;
   LinkHub m_hub;
-  RunManager m_keeper;
-  RunCounters m_counters;  // of what never reached the keeper
+  RunManager m_run_manager;
+  RunCounters m_counters;  // of updates that never reached m_run_manager
   WakeTimer m_wake;
   MemberAnnouncer m_announcer;
-  WorkerAnnouncement m_recorded;  // as last handed to the announcer
-  std::unique_ptr<HttpServer> m_news;
-  std::unique_ptr<HttpServer> m_metrics;
+  WorkerAnnouncement m_recorded;  // as last passed to m_announcer
+  std::unique_ptr<HttpServer> m_worker_server;
+  std::unique_ptr<HttpServer> m_metrics_server;
 };
 
 }  // namespace egretswitch::internal
--- a/src/worker_announcement.h
+++ b/src/worker_announcement.h
@@ -1,4 +1,4 @@
-// What a worker says of itself now and then, as plain data.
+// The plain data of a worker's periodic announcement of itself.
 #ifndef EGRETSWITCH_SRC_WORKER_ANNOUNCEMENT_H_
 #define EGRETSWITCH_SRC_WORKER_ANNOUNCEMENT_H_
 
@@ -13,11 +13,11 @@
 struct WorkerAnnouncement {
   std::string incarnation;
   std::string service;
-  std::string kind;  // workers of one kind are equally fast
+  std::string kind;  // workers of the same kind are equally fast
   std::string rack;
   TaskNeeds capacity;
-  bool leaving = false;   // no new work; what runs may finish
-  uint64_t sequence = 0;  // rises with each announcement of an incarnation
+  bool leaving = false;   // accepts no new work; running tasks may finish
+  uint64_t sequence = 0;  // increases with each announcement of an incarnation
   int64_t clock_ms = 0;   // the worker's steady clock
   bool operator==(const WorkerAnnouncement&) const = default;
   MSGPACK_DEFINE(incarnation,
--- a/src/worker_calls.h
+++ b/src/worker_calls.h
@@ -1,9 +1,9 @@
-// What an agent asks of the worker beside it, and what the worker answers. The
-// platform's adapter makes the calls; the decisions see only these types.
+// The calls of an agent to the worker beside it, and the worker's answers. The
+// platform's adapter makes the calls; RunManager sees only these types.
 //
-// Everything on a worker runs under one lease, which each start and each look
-// extends. A worker keeps the highest fencing token that it has seen and obeys
-// nothing below it.
+// All runs on a worker share one lease, which each start and each poll extends.
+// A worker stores the highest fencing token that it has seen and refuses calls
+// with a lower one.
 #ifndef EGRETSWITCH_SRC_WORKER_CALLS_H_
 #define EGRETSWITCH_SRC_WORKER_CALLS_H_
 
@@ -19,7 +19,7 @@
 
 namespace egretswitch::internal {
 
-// A run as the worker knows it.
+// Identifies a run at the worker.
 struct RunKey {
   TaskRef task;
   RunNumber run = 0;
@@ -27,7 +27,7 @@
 };
 
 struct StartCall {
-  std::string worker;  // the incarnation that is meant
+  std::string worker;  // the incarnation that the call is addressed to
   RunKey key;
   std::string spec;
   int64_t lease_until_ms = 0;  // on the worker's clock
@@ -40,40 +40,41 @@
   uint64_t fencing_token = 0;
 };
 
-// Extends the lease, acknowledges ends, and asks for what runs and has ended.
+// Extends the lease, acknowledges ends, and requests the lists of running and
+// ended runs.
 struct PollCall {
   std::string worker;
-  int64_t lease_until_ms = 0;  // 0: the lease stays as it is
+  int64_t lease_until_ms = 0;  // 0: the lease is not extended
   uint64_t fencing_token = 0;
-  uint64_t acknowledged = 0;  // sequence of the last end that has been seen
-  absl::Duration wait;        // for the next end, when there is none
+  uint64_t acknowledged = 0;  // sequence of the last end received
+  absl::Duration wait;        // how long to wait if there is no new end
 };
 
 enum class CallVerdict : uint8_t {
   kDone = 0,
-  kFenced,       // a higher token has been seen; nothing was done
-  kOldNumber,    // this run number or a higher one has been; nothing was done
-  kTooLate,      // the lease asked for was over already; nothing was done
-  kNoRoom,       // nothing was done
+  kFenced,       // the worker has seen a higher token; nothing was done
+  kOldNumber,    // this or a higher run number has ended; nothing was done
+  kTooLate,      // the requested lease had already expired; nothing was done
+  kNoRoom,       // too little free capacity; nothing was done
   kOtherWorker,  // another incarnation answers there; nothing was done
   kRefused,      // an unhealthy worker or a bad call; nothing was done
   kUnreachable,  // no connection to it; nothing was done
-  kUnknown,      // no answer: it may have been done, or may be done later
+  kUnknown,      // no answer: carried out, or not, or still to be
 };
 
 std::string_view CallVerdictName(CallVerdict verdict);
 
 struct CallAnswer {
   CallVerdict verdict = CallVerdict::kUnknown;
-  int64_t clock_ms = 0;          // the worker's clock; 0: the answer had none
-  std::string incarnation = {};  // that answered; empty: the answer tells none
+  int64_t clock_ms = 0;          // the worker's clock; 0: not in the answer
+  std::string incarnation = {};  // that answered; empty: not in the answer
 };
 
 enum class WorkerRunEnd : uint8_t {
   kDone = 0,
   kFailed,
-  kStopped,  // by an order
-  kLapsed,   // its lease ran out
+  kStopped,  // by a stop call
+  kLapsed,   // its lease expired
 };
 
 struct EndedRun {
@@ -85,11 +86,12 @@
 struct PollAnswer {
   CallAnswer call;
   std::vector<RunKey> running;
-  std::vector<EndedRun> ended;  // those not acknowledged, oldest first
+  std::vector<EndedRun> ended;  // not yet acknowledged, oldest first
 };
 
-// The calls of one agent to its worker. Callbacks come in a later turn of the
-// loop, once for each call, and never after the object's end.
+// Interface for the calls of one agent to its worker. Each callback is invoked
+// exactly once, in a later turn of the loop, and never after the object is
+// destroyed.
 class WorkerCalls {
  public:
   using AnswerCallback = std::function<void(const CallAnswer&)>;
--- a/src/worker_incarnation.cc
+++ b/src/worker_incarnation.cc
@@ -10,12 +10,12 @@
 
 }  // namespace
 
-std::string IncarnationName(std::string_view worker_id, int64_t born_ms) {
-  if (born_ms <= 0) {
+std::string IncarnationName(std::string_view worker_id, int64_t start_time_ms) {
+  if (start_time_ms <= 0) {
     return std::string(worker_id);
   }
   return absl::StrCat(std::string(worker_id), std::string(1, kSeparator),
-                      born_ms);
+                      start_time_ms);
 }
 
 std::string_view WorkerIdOf(std::string_view incarnation) {
@@ -24,12 +24,12 @@
 
 int64_t StartTimeOf(std::string_view incarnation) {
   const size_t separator = incarnation.find(kSeparator);
-  int64_t born_ms = 0;
-  const bool told =
+  int64_t start_time_ms = 0;
+  const bool valid =
       separator != std::string_view::npos &&
       absl::SimpleAtoi(std::string(incarnation.substr(separator + 1)),
-                       &born_ms);
-  return told ? born_ms : 0;
+                       &start_time_ms);
+  return valid ? start_time_ms : 0;
 }
 
 bool IsEarlierIncarnation(std::string_view left, std::string_view right) {
--- a/src/worker_poller.cc
+++ b/src/worker_poller.cc
@@ -1,7 +1,8 @@
-// Each look of the long kind extends the lease of all that runs. A worker that
-// has long been silent gets no further lease: what runs there ends by itself,
-// and that moment can be told. One that is away is asked by quick looks alone:
-// the first answer tells that it is back, and a long look would wait with it.
+// Each poll of the present worker extends the lease of all its runs. A worker
+// that has been unresponsive for kWorkerSilence gets no further lease: its runs
+// then end by themselves at a time that can be computed. An unreachable worker
+// is sent short polls only: the first answer shows that it is reachable again,
+// and a long poll would delay that answer by its wait.
 #include "worker_poller.h"
 
 #include <algorithm>
@@ -11,37 +12,37 @@
 namespace egretswitch::internal {
 namespace {
 
-// Pause before a call is repeated that failed at once.
-constexpr absl::Duration kLookRetry = absl::Milliseconds(50);
+// Pause before a poll is repeated that failed at once.
+constexpr absl::Duration kPollRetry = absl::Milliseconds(50);
 
-// Calls get lost in spells of some seconds; after one of them further looks are
-// worth their processor time for so long.
-constexpr absl::Duration kLossSpell = absl::Seconds(5);
+// Calls get lost in bursts of some seconds. For this long after a lost call,
+// additional polls are worth their processor time.
+constexpr absl::Duration kLossPeriod = absl::Seconds(5);
 
-// Between quick looks in such a spell. A long look that was answered into the
-// void is given up after 350 ms; until then nobody would hear of the ends.
-constexpr absl::Duration kSpellLookPeriod = absl::Milliseconds(15);
-// Each lost one holds a connection for 150 ms.
-constexpr uint32_t kMostQuickLooks = 8;
+// Between short polls in such a period. A long poll whose answer is lost times
+// out after 350 ms; without short polls the ends would not arrive until then.
+constexpr absl::Duration kLossPollPeriod = absl::Milliseconds(15);
+// Each lost poll occupies a connection for 150 ms.
+constexpr uint32_t kMaxShortPolls = 8;
 
 }  // namespace
 
-uint32_t& WorkerPoller::UnderWay(absl::Duration wait) {
-  return wait > absl::ZeroDuration() ? m_long_looks : m_quick_looks;
+uint32_t& WorkerPoller::InFlight(absl::Duration wait) {
+  return wait > absl::ZeroDuration() ? m_long_polls : m_short_polls;
 }
 
-uint32_t WorkerPoller::LongLooksWanted(MonoTime now) const {
-  return now < m_calls_lost_until ? 2 : 1;
+uint32_t WorkerPoller::LongPollsWanted(MonoTime now) const {
+  return now < m_loss_period_until ? 2 : 1;
 }
 
-void WorkerPoller::NoteLostCall(MonoTime now) {
-  m_calls_lost_until = now + kLossSpell;
+void WorkerPoller::RecordLostCall(MonoTime now) {
+  m_loss_period_until = now + kLossPeriod;
 }
 
 PollCall WorkerPoller::Make(const WorkerState& worker,
-                           const std::string& incarnation,
-                           absl::Duration wait) {
-  ++UnderWay(wait);
+                            const std::string& incarnation,
+                            absl::Duration wait) {
+  ++InFlight(wait);
   const bool present =
       worker.identified() && worker.present().incarnation == incarnation;
   PollCall call;
@@ -53,88 +54,89 @@
   return call;
 }
 
-PollCall WorkerPoller::TakeFirst(const WorkerState& worker) {
+PollCall WorkerPoller::TakeCandidatePoll(const WorkerState& worker) {
   return Make(worker, worker.candidate()->incarnation, absl::ZeroDuration());
 }
 
 std::vector<PollCall> WorkerPoller::TakeDue(WorkerState& worker,
-                                           const PollNeeds& needs,
-                                           MonoTime now) {
+                                            const PollNeeds& needs,
+                                            MonoTime now) {
   std::vector<PollCall> due;
-  if (now < m_next_look) {
+  if (now < m_next_poll) {
     return due;
   }
   if (!worker.identified() || worker.superseded()) {
-    if (worker.candidate().has_value() && m_quick_looks == 0) {
-      due.push_back(TakeFirst(worker));
+    if (worker.candidate().has_value() && m_short_polls == 0) {
+      due.push_back(TakeCandidatePoll(worker));
     }
     return due;
   }
-  const auto look = [&](absl::Duration wait) {
+  const auto poll = [&](absl::Duration wait) {
     PollCall call = Make(worker, worker.present().incarnation, wait);
-    call.lease_until_ms = worker.Silent(now) ? 0 : worker.ExtendLease(now);
+    call.lease_until_ms =
+        worker.Unresponsive(now) ? 0 : worker.ExtendLease(now);
     due.push_back(call);
   };
-  if (worker.away()) {
-    if (m_quick_looks == 0) {
-      look(absl::ZeroDuration());
+  if (worker.unreachable()) {
+    if (m_short_polls == 0) {
+      poll(absl::ZeroDuration());
     }
     return due;
   }
-  while (m_long_looks < LongLooksWanted(now)) {
-    look(kPollWait);
+  while (m_long_polls < LongPollsWanted(now)) {
+    poll(kPollWait);
   }
-  const bool overdue = now - worker.last_heard() >= kPollOverdue;
-  const bool in_doubt = m_quick_looks == 0 && (overdue || needs.list);
-  if (in_doubt || now >= NextOfSpell(needs)) {
-    look(absl::ZeroDuration());
-    m_next_of_spell = now + kSpellLookPeriod;
+  const bool overdue = now - worker.last_answer_at() >= kPollOverdue;
+  const bool short_due = m_short_polls == 0 && (overdue || needs.list);
+  if (short_due || now >= NextLossPoll(needs)) {
+    poll(absl::ZeroDuration());
+    m_next_loss_poll = now + kLossPollPeriod;
   }
   return due;
 }
 
-void WorkerPoller::Answered(const PollCall& call,
-                           CallVerdict verdict,
-                           MonoTime now) {
-  uint32_t& under_way = UnderWay(call.wait);
-  under_way -= std::min(under_way, 1u);
+void WorkerPoller::RecordAnswer(const PollCall& call,
+                                CallVerdict verdict,
+                                MonoTime now) {
+  uint32_t& in_flight = InFlight(call.wait);
+  in_flight -= std::min(in_flight, 1u);
   if (verdict == CallVerdict::kUnknown) {
-    NoteLostCall(now);
+    RecordLostCall(now);
   }
   if (verdict != CallVerdict::kDone && verdict != CallVerdict::kOtherWorker) {
-    m_next_look = now + kLookRetry;
+    m_next_poll = now + kPollRetry;
   }
 }
 
-MonoTime WorkerPoller::NextOfSpell(const PollNeeds& needs) const {
-  const bool wanted = needs.runs && m_next_of_spell < m_calls_lost_until &&
-                      m_quick_looks < kMostQuickLooks;
-  return wanted ? m_next_of_spell : absl::InfiniteDuration();
+MonoTime WorkerPoller::NextLossPoll(const PollNeeds& needs) const {
+  const bool needed = needs.runs && m_next_loss_poll < m_loss_period_until &&
+                      m_short_polls < kMaxShortPolls;
+  return needed ? m_next_loss_poll : absl::InfiniteDuration();
 }
 
 MonoTime WorkerPoller::NextDue(const WorkerState& worker,
-                              const PollNeeds& needs) const {
-  const bool anyone = worker.identified() || worker.candidate().has_value();
+                               const PollNeeds& needs) const {
+  const bool has_target = worker.identified() || worker.candidate().has_value();
   MonoTime due = absl::InfiniteDuration();
-  if (worker.superseded() || (worker.identified() && worker.away())) {
-    return m_quick_looks == 0 ? m_next_look : due;
+  if (worker.superseded() || (worker.identified() && worker.unreachable())) {
+    return m_short_polls == 0 ? m_next_poll : due;
   }
-  if (anyone && m_long_looks == 0) {
-    due = m_next_look;
+  if (has_target && m_long_polls == 0) {
+    due = m_next_poll;
   }
-  if (worker.identified() && m_quick_looks == 0) {
-    due =
-        std::min(due, std::max(m_next_look, worker.last_heard() + kPollOverdue));
+  if (worker.identified() && m_short_polls == 0) {
+    due = std::min(
+        due, std::max(m_next_poll, worker.last_answer_at() + kPollOverdue));
   }
   if (worker.identified()) {
-    due = std::min(due, std::max(m_next_look, NextOfSpell(needs)));
+    due = std::min(due, std::max(m_next_poll, NextLossPoll(needs)));
   }
   return due;
 }
 
-void WorkerPoller::StartOver(MonoTime now) {
+void WorkerPoller::Reset(MonoTime now) {
   m_acknowledged = 0;
-  m_next_look = now;
+  m_next_poll = now;
 }
 
 std::vector<EndedRun> WorkerPoller::TakeNewEnds(const PollAnswer& answer) {
--- a/src/worker_poller.h
+++ b/src/worker_poller.h
@@ -1,13 +1,14 @@
-// When an agent looks at its worker: which looks are under way, when the next
-// one is due, and which ends of runs have been seen.
+// Schedules an agent's polls of its worker: which polls are in flight, when the
+// next one is due, and which ends of runs have been received.
 //
-//   looks.TakeDue(worker, list_wanted, now)  -> [PollCall{wait 200 ms}]
-//   looks.Answered(call, CallVerdict::kDone, now)
+//   poller.TakeDue(worker, needs, now)  -> [PollCall{wait 200 ms}]
+//   poller.RecordAnswer(call, CallVerdict::kDone, now)
 //
-// A long look waits at the worker for an end, so that an end is known within a
-// network delay of it. A quick one goes beside it when the long one is overdue
-// or the list of what runs is wanted at once. While calls get lost two long
-// ones are under way, so that one lost answer does not hide the ends.
+// A long poll waits at the worker for the next end of a run, so that the agent
+// receives it within a network delay. A short poll, which does not wait, is
+// sent beside it when the long one is overdue or the list of runs is needed at
+// once. While calls get lost, two long polls are in flight, so that a single
+// lost answer does not hide the ends.
 #ifndef EGRETSWITCH_SRC_WORKER_POLLER_H_
 #define EGRETSWITCH_SRC_WORKER_POLLER_H_
 
@@ -16,15 +17,15 @@
 #include <vector>
 
 #include "clock.h"
-#include "worker_state.h"
 #include "worker_calls.h"
+#include "worker_state.h"
 
 namespace egretswitch::internal {
 
-// What the agent has to learn from its worker.
+// What the agent needs from its worker.
 struct PollNeeds {
-  bool runs = false;  // there are some whose ends are to be known
-  bool list = false;  // and some of which only the list of what runs can tell
+  bool runs = false;  // the ends of runs
+  bool list = false;  // the list of runs, which alone can resolve some of them
 };
 
 class WorkerPoller {
@@ -32,36 +33,36 @@
   std::vector<PollCall> TakeDue(WorkerState& worker,
                                 const PollNeeds& needs,
                                 MonoTime now);
-  // At a worker that has announced itself, or that a peer has named.
-  PollCall TakeFirst(const WorkerState& worker);
-  void Answered(const PollCall& call, CallVerdict verdict, MonoTime now);
-  // A call of any kind got no answer in time.
-  void NoteLostCall(MonoTime now);
+  // The first poll of a worker that announced itself or was named by a peer.
+  PollCall TakeCandidatePoll(const WorkerState& worker);
+  void RecordAnswer(const PollCall& call, CallVerdict verdict, MonoTime now);
+  // Records that a call of any kind got no answer in time.
+  void RecordLostCall(MonoTime now);
 
-  // Infinite: none is due before one is answered.
+  // Infinite if no poll is due before another one is answered.
   MonoTime NextDue(const WorkerState& worker, const PollNeeds& needs) const;
 
-  // Another worker: its ends are numbered anew, and a look is due at once.
-  void StartOver(MonoTime now);
+  // For a new worker: its ends are numbered anew, and a poll is due at once.
+  void Reset(MonoTime now);
 
-  // The ends that no look before has told of.
+  // Returns the ends that no earlier answer has reported.
   std::vector<EndedRun> TakeNewEnds(const PollAnswer& answer);
 
  private:
   PollCall Make(const WorkerState& worker,
                 const std::string& incarnation,
                 absl::Duration wait);
-  uint32_t& UnderWay(absl::Duration wait);
-  uint32_t LongLooksWanted(MonoTime now) const;
-  // When the next quick look is due because calls get lost; infinite: none is.
-  MonoTime NextOfSpell(const PollNeeds& needs) const;
+  uint32_t& InFlight(absl::Duration wait);
+  uint32_t LongPollsWanted(MonoTime now) const;
+  // When the next short poll is due because calls get lost; infinite if none.
+  MonoTime NextLossPoll(const PollNeeds& needs) const;
 
-  uint64_t m_acknowledged = 0;  // sequence of the last end that was seen
-  uint32_t m_long_looks = 0;    // under way
-  uint32_t m_quick_looks = 0;
-  MonoTime m_calls_lost_until = absl::ZeroDuration();
-  MonoTime m_next_look = absl::ZeroDuration();
-  MonoTime m_next_of_spell = absl::ZeroDuration();
+  uint64_t m_acknowledged = 0;  // sequence of the last end received
+  uint32_t m_long_polls = 0;    // in flight
+  uint32_t m_short_polls = 0;   // in flight
+  MonoTime m_loss_period_until = absl::ZeroDuration();
+  MonoTime m_next_poll = absl::ZeroDuration();
+  MonoTime m_next_loss_poll = absl::ZeroDuration();
 };
 
 }  // namespace egretswitch::internal
--- a/src/worker_state.cc
+++ b/src/worker_state.cc
@@ -1,8 +1,8 @@
-// The fencing token is the worker's birth and, added to it, its own clock when
-// it first answered this agent. The clock never goes back within an incarnation
-// and starts anew with the next birth, so a later agent and a later life have
-// higher tokens, and a call of a predecessor that is carried out late does
-// nothing.
+// The fencing token is the sum of the worker's start time and of its own clock
+// when it first answered this agent. The clock never goes back within an
+// incarnation and restarts with the next one. So later agents and later
+// incarnations have higher tokens, and a predecessor's call that is carried out
+// late has no effect.
 #include "worker_state.h"
 
 #include <algorithm>
@@ -14,9 +14,10 @@
 namespace egretswitch::internal {
 namespace {
 
-// The worker's clock may be slow by this factor, so that a lease lasts longer.
+// The worker's clock may be slow by this factor, which makes a lease last
+// longer.
 constexpr double kSlowWorkerClock = 0.98;
-// Stopping what runs takes a worker up to 50 ms; twice that.
+// A worker takes up to 50 ms to stop its runs; this is twice that.
 constexpr absl::Duration kStopMargin = absl::Milliseconds(100);
 
 uint64_t TokenAt(std::string_view incarnation, int64_t clock_ms) {
@@ -26,10 +27,10 @@
 
 }  // namespace
 
-// Anyone may send a report in a worker's name. Its service and kind last as
-// long as the incarnation, so a report that says otherwise is not its own. Its
-// capacity is what its latest report says. A worker that began to leave does
-// not come back, whatever the order in which its reports arrive.
+// Any process may send a report in a worker's name. A worker's service and kind
+// are fixed for its incarnation, so a report that changes them is not its own.
+// Its capacity is that of its latest report. A worker that began to leave does
+// not return, in whichever order its reports arrive.
 AnnouncementOutcome WorkerState::Announce(
     const WorkerAnnouncement& announcement) {
   if (!m_present.has_value() ||
@@ -38,42 +39,43 @@
   }
   const bool same = announcement.service == m_present->service &&
                     announcement.kind == m_present->kind;
-  if (!same && m_present_described) {
+  if (!same && m_present_announced) {
     return AnnouncementOutcome::kContradicts;
   }
   const bool leaving = m_present->leaving || announcement.leaving;
-  if (m_present_described && announcement.sequence <= m_present->sequence) {
+  if (m_present_announced && announcement.sequence <= m_present->sequence) {
     m_present->leaving = leaving;
-    return AnnouncementOutcome::kNothingNew;
+    return AnnouncementOutcome::kUnchanged;
   }
   const TaskNeeds former = m_present->capacity;
   m_present = announcement;
   m_present->leaving = leaving;
-  m_present_described = true;
-  return announcement.capacity == former ? AnnouncementOutcome::kNothingNew
-                                         : AnnouncementOutcome::kRoomChanged;
+  m_present_announced = true;
+  return announcement.capacity == former
+             ? AnnouncementOutcome::kUnchanged
+             : AnnouncementOutcome::kCapacityChanged;
 }
 
 AnnouncementOutcome WorkerState::AnnounceOther(
     const WorkerAnnouncement& announcement) {
   const std::string& named = announcement.incarnation;
-  const bool late =
-      (m_present.has_value() && IsEarlierIncarnation(named, m_present->incarnation)) ||
-      (m_candidate.has_value() &&
-       IsEarlierIncarnation(named, m_candidate->incarnation));
+  const bool late = (m_present.has_value() &&
+                     IsEarlierIncarnation(named, m_present->incarnation)) ||
+                    (m_candidate.has_value() &&
+                     IsEarlierIncarnation(named, m_candidate->incarnation));
   if (late) {
-    return AnnouncementOutcome::kNothingNew;
+    return AnnouncementOutcome::kUnchanged;
   }
   m_candidate = announcement;
-  m_candidate_described = true;
-  return AnnouncementOutcome::kLook;
+  m_candidate_announced = true;
+  return AnnouncementOutcome::kPoll;
 }
 
-// Its room and kind may be others now: until its own announcement comes it has
-// no room to use.
-bool WorkerState::NoteNewLife(const std::string& called,
-                                const std::string& answering,
-                                int64_t clock_ms) {
+// The capacity and kind of the new incarnation may differ: its capacity counts
+// as zero until its own announcement arrives.
+bool WorkerState::RecordNewIncarnation(const std::string& called,
+                                       const std::string& answering,
+                                       int64_t clock_ms) {
   if (!IsEarlierIncarnation(called, answering)) {
     return false;
   }
@@ -82,9 +84,10 @@
   const bool was_candidate =
       m_candidate.has_value() && m_candidate->incarnation == called;
   m_superseded = m_superseded || was_present;
-  const bool known_already = m_candidate.has_value() &&
-                             !IsEarlierIncarnation(m_candidate->incarnation, answering);
-  if (known_already || !(was_present || was_candidate)) {
+  const bool recorded =
+      m_candidate.has_value() &&
+      !IsEarlierIncarnation(m_candidate->incarnation, answering);
+  if (recorded || !(was_present || was_candidate)) {
     return false;
   }
   WorkerAnnouncement next = was_candidate ? *m_candidate : *m_present;
@@ -94,39 +97,40 @@
   next.sequence = 0;
   next.clock_ms = clock_ms;
   m_candidate = std::move(next);
-  m_candidate_described = false;
+  m_candidate_announced = false;
   return true;
 }
 
 bool WorkerState::MayHaveWithdrawn(const std::string& worker_id) const {
   const bool named =
       m_present.has_value() && WorkerIdOf(m_present->incarnation) == worker_id;
-  return named && (StartTimeOf(m_present->incarnation) == 0 || m_present->leaving);
+  return named &&
+         (StartTimeOf(m_present->incarnation) == 0 || m_present->leaving);
 }
 
 uint64_t WorkerState::FirstToken(const WorkerAnnouncement& announcement) {
   return TokenAt(announcement.incarnation, announcement.clock_ms);
 }
 
-bool WorkerState::HeardFrom(const std::string& incarnation,
-                              const CallAnswer& answer,
-                              MonoTime now) {
+bool WorkerState::RecordAnswer(const std::string& incarnation,
+                               const CallAnswer& answer,
+                               MonoTime now) {
   bool replaced = false;
   if (m_candidate.has_value() && m_candidate->incarnation == incarnation) {
     m_present = std::move(m_candidate);
     m_candidate.reset();
-    m_present_described = m_candidate_described;
+    m_present_announced = m_candidate_announced;
     m_superseded = false;
     m_clock = RemoteClock();
     m_highest_clock_ms = 0;
     m_fencing_token =
         std::max(FirstToken(*m_present), TokenAt(incarnation, answer.clock_ms));
-    m_lease_asked_at = absl::ZeroDuration();
+    m_lease_requested_at = absl::ZeroDuration();
     replaced = true;
   }
   if (m_present.has_value() && m_present->incarnation == incarnation) {
-    m_last_heard = now;
-    m_away = false;
+    m_last_answer_at = now;
+    m_unreachable = false;
     if (answer.clock_ms > 0) {
       m_clock.Observe(answer.clock_ms, now);
       m_highest_clock_ms = std::max(m_highest_clock_ms, answer.clock_ms);
@@ -135,24 +139,25 @@
   return replaced;
 }
 
-// Only lives that share an id may answer for each other. A worker's clock never
-// goes back, and starts anew with its next life; answers may overtake each
-// other.
-bool WorkerState::IsOfPresentLife(const std::string& incarnation,
-                                    int64_t clock_ms) const {
+// Only incarnations that share an id may answer for each other. A worker's
+// clock never goes back within an incarnation and restarts with the next one.
+// Answers may overtake each other, hence the tolerance.
+bool WorkerState::IsFromPresentIncarnation(const std::string& incarnation,
+                                           int64_t clock_ms) const {
   if (!m_present.has_value() || m_present->incarnation != incarnation) {
     return false;
   }
-  const int64_t overtaken_by =
+  const int64_t tolerance_ms =
       absl::ToInt64Milliseconds(kPollWait + kWorkerCallTimeout);
   return StartTimeOf(incarnation) == 0 ||
-         (!m_superseded && clock_ms > m_highest_clock_ms - overtaken_by);
+         (!m_superseded && clock_ms > m_highest_clock_ms - tolerance_ms);
 }
 
-// A hint is as old as the former agent's first call to the worker, whose token
-// was therefore higher than what the hint gives. The answer tells the worker's
-// clock now, above every token that a former agent can have made of it.
-bool WorkerState::NoteFenced(const std::string& incarnation,
+// A hint is as old as the former agent's first call to the worker, so that
+// agent's token is higher than the one made from the hint. The answer carries
+// the worker's current clock, which is above every token that a former agent
+// can have made from it.
+bool WorkerState::RecordFenced(const std::string& incarnation,
                                const CallAnswer& answer) {
   const bool higher = m_candidate.has_value() &&
                       m_candidate->incarnation == incarnation &&
@@ -163,11 +168,11 @@
   return higher;
 }
 
-bool WorkerState::NoteAway() {
-  return !std::exchange(m_away, true);
+bool WorkerState::RecordUnreachable() {
+  return !std::exchange(m_unreachable, true);
 }
 
-void WorkerState::Forget(const std::string& incarnation) {
+void WorkerState::Remove(const std::string& incarnation) {
   if (m_present.has_value() && m_present->incarnation == incarnation) {
     m_present.reset();
     m_superseded = false;
@@ -185,18 +190,19 @@
 }
 
 int64_t WorkerState::ExtendLease(MonoTime now) {
-  m_lease_asked_at = now;
+  m_lease_requested_at = now;
   const int64_t clock = m_clock.Estimate(now).value_or(
       m_present.has_value() ? m_present->clock_ms : 0);
   return clock + absl::ToInt64Milliseconds(kWorkerLease);
 }
 
-bool WorkerState::CertainlyOver(MonoTime now) const {
-  return now - m_lease_asked_at > kWorkerLease / kSlowWorkerClock + kStopMargin;
+bool WorkerState::AllLeasesExpired(MonoTime now) const {
+  return now - m_lease_requested_at >
+         kWorkerLease / kSlowWorkerClock + kStopMargin;
 }
 
-bool WorkerState::Silent(MonoTime now) const {
-  return now - m_last_heard > kWorkerSilence;
+bool WorkerState::Unresponsive(MonoTime now) const {
+  return now - m_last_answer_at > kWorkerSilence;
 }
 
 }  // namespace egretswitch::internal
--- a/src/worker_state.h
+++ b/src/worker_state.h
@@ -1,16 +1,18 @@
-// Which incarnation of the worker beside an agent is the present one, and how
-// far its lease reaches.
+// Tracks which incarnation of the worker beside an agent is the present one,
+// and until when its lease lasts.
 //
-//   watch.Announce({.incarnation = "i-7", ...}, now);  -> look at i-7
-//   watch.Look answered by i-7                         -> i-7 is the worker
+//   worker.Announce({.incarnation = "i-7", ...});  -> kPoll: i-7 is a candidate
+//   worker.RecordAnswer("i-7", answer, now);       -> i-7 is the present worker
 //
 // An announcement may be late: its sender may have crashed, and another
-// incarnation may live at the same address. So one that names another
-// incarnation is believed only after that one has answered a call.
+// incarnation may run at the same address. So an announcement that names
+// another incarnation only makes it the candidate, which is adopted once it has
+// answered a call.
 //
-// A worker that starts again under its id answers calls meant for its former
-// life. The first answer that tells so supersedes the present incarnation:
-// nothing new is begun, and the new life is looked at and then adopted.
+// A worker that restarts under its id answers calls addressed to its former
+// incarnation. The first answer that reveals this supersedes the present
+// incarnation: nothing new is started, and the new incarnation is polled and
+// then adopted.
 #ifndef EGRETSWITCH_SRC_WORKER_STATE_H_
 #define EGRETSWITCH_SRC_WORKER_STATE_H_
 
@@ -24,92 +26,94 @@
 
 namespace egretswitch::internal {
 
-// What an announcement comes to.
+// The effect of an announcement.
 enum class AnnouncementOutcome : uint8_t {
-  kNothingNew = 0,
-  kLook,  // it names an incarnation to be looked at before it is believed
-  kRoomChanged,  // the worker's capacity is another one from now on
-  kContradicts,  // what lasts as long as the incarnation is not as it was:
-                 // ignored
+  kUnchanged = 0,
+  kPoll,  // it names an incarnation that must be polled before it is adopted
+  kCapacityChanged,
+  kContradicts,  // ignored: it changes a property that is fixed for the
+                 // incarnation
 };
 
 class WorkerState {
  public:
   AnnouncementOutcome Announce(const WorkerAnnouncement& announcement);
 
-  // A call to `incarnation` was answered by it. True when this makes it the
-  // present worker in place of another one, or of none.
-  bool HeardFrom(const std::string& incarnation,
-                 const CallAnswer& answer,
-                 MonoTime now);
-
-  // Whether an answer to a call to `incarnation` that tells this clock can't be
-  // the next life's, which answers to the same id.
-  bool IsOfPresentLife(const std::string& incarnation, int64_t clock_ms) const;
-
-  // A call to the present worker found nobody, or another one in its place.
-  // True when that is new.
-  bool NoteAway();
-  // Whether it has answered nothing since.
-  bool away() const { return m_away; }
-
-  // `answering` answered a call that was meant for `called`, an earlier life of
-  // the same worker. True when it is to be looked at.
-  bool NoteNewLife(const std::string& called,
-                   const std::string& answering,
-                   int64_t clock_ms);
-  // Whether a later life of the present worker has answered.
+  // Records that `incarnation` answered a call. Returns true if this makes it
+  // the present worker in place of another one, or of none.
+  bool RecordAnswer(const std::string& incarnation,
+                    const CallAnswer& answer,
+                    MonoTime now);
+
+  // Whether an answer to a call to `incarnation` with this worker clock is
+  // certainly not from the next incarnation, which answers to the same id.
+  bool IsFromPresentIncarnation(const std::string& incarnation,
+                                int64_t clock_ms) const;
+
+  // A call to the present worker got no connection, or another worker answered
+  // in its place. Returns true if the worker was reachable before.
+  bool RecordUnreachable();
+  // Whether the worker has not answered any call since.
+  bool unreachable() const { return m_unreachable; }
+
+  // `answering` answered a call addressed to `called`, an earlier incarnation
+  // of the same worker. Returns true if `answering` is to be polled.
+  bool RecordNewIncarnation(const std::string& called,
+                            const std::string& answering,
+                            int64_t clock_ms);
+  // Whether a later incarnation of the present worker has answered.
   bool superseded() const { return m_superseded; }
 
-  // The incarnation turned a call away for a higher token that it has seen.
-  // True when it is the candidate, and the next call to it has a higher token.
-  bool NoteFenced(const std::string& incarnation, const CallAnswer& answer);
+  // The incarnation refused a call because it has seen a higher token. Returns
+  // true if it is the candidate and the next call to it has a higher token.
+  bool RecordFenced(const std::string& incarnation, const CallAnswer& answer);
 
-  // A worker of this id says that it ends. False when that may be a late word
-  // of a former life.
+  // Whether a withdrawal of the worker with this id applies to the present
+  // incarnation. False if it may be a late message of a former one.
   bool MayHaveWithdrawn(const std::string& worker_id) const;
 
-  // The incarnation is over, or another one answers in its place.
-  void Forget(const std::string& incarnation);
+  // The incarnation has ended, or another one answers in its place.
+  void Remove(const std::string& incarnation);
 
+  // Whether there is a present worker: one that has answered a call.
   bool identified() const { return m_present.has_value(); }
   const WorkerAnnouncement& present() const { return *m_present; }
-  // To be looked at; null: none.
+  // The incarnation to be polled; nullopt if there is none.
   const std::optional<WorkerAnnouncement>& candidate() const {
     return m_candidate;
   }
 
-  // A token that no former agent of this worker has used.
+  // Returns a token that no former agent of this worker has used.
   static uint64_t FirstToken(const WorkerAnnouncement& announcement);
   uint64_t fencing_token() const { return m_fencing_token; }
   // A call was fenced: another agent has used a higher token.
   void RaiseToken(MonoTime now);
 
-  // Where a lease that begins now ends, on the worker's clock. Remembered, for
-  // CertainlyOver().
+  // Returns the end, on the worker's clock, of a lease that begins now, and
+  // records the request for AllLeasesExpired().
   int64_t ExtendLease(MonoTime now);
-  // Whether each lease that was ever asked for has run out.
-  bool CertainlyOver(MonoTime now) const;
+  // Whether every lease that was ever requested has certainly expired.
+  bool AllLeasesExpired(MonoTime now) const;
 
-  bool Silent(MonoTime now) const;
-  MonoTime last_heard() const { return m_last_heard; }
+  bool Unresponsive(MonoTime now) const;
+  MonoTime last_answer_at() const { return m_last_answer_at; }
 
  private:
   AnnouncementOutcome AnnounceOther(const WorkerAnnouncement& announcement);
 
   std::optional<WorkerAnnouncement> m_present;
   std::optional<WorkerAnnouncement> m_candidate;
-  // Whether its own announcement has come, or what is held of it is taken from
-  // its former life.
-  bool m_present_described = false;
-  bool m_candidate_described = false;
+  // Whether the incarnation's own announcement has been received. Otherwise its
+  // properties are copied from its former incarnation.
+  bool m_present_announced = false;
+  bool m_candidate_announced = false;
   bool m_superseded = false;
-  bool m_away = false;
+  bool m_unreachable = false;
   RemoteClock m_clock;
-  int64_t m_highest_clock_ms = 0;  // that the present incarnation told
+  int64_t m_highest_clock_ms = 0;  // reported by the present incarnation
   uint64_t m_fencing_token = 0;
-  MonoTime m_last_heard = absl::ZeroDuration();
-  MonoTime m_lease_asked_at = absl::ZeroDuration();
+  MonoTime m_last_answer_at = absl::ZeroDuration();
+  MonoTime m_lease_requested_at = absl::ZeroDuration();
 };
 
 }  // namespace egretswitch::internal
--- a/test/fake_run_worker.cc
+++ b/test/fake_run_worker.cc
@@ -1,4 +1,4 @@
-// The platform grants a lease of a second at most, on the worker's own clock.
+// Like the platform's worker, grants a lease of at most 1 s on its own clock.
 #include "fake_run_worker.h"
 
 #include <algorithm>
@@ -39,7 +39,7 @@
 
 TaskNeeds FakeRunWorker::Free() const {
   TaskNeeds free = m_capacity;
-  for (const auto& [key, needs] : m_taken) {
+  for (const auto& [key, needs] : m_used) {
     Subtract(free, needs);
   }
   return free;
@@ -52,11 +52,12 @@
   Advance(now);
   const int64_t clock = ClockMs(now);
   CallVerdict verdict = Check(call.worker, call.fencing_token);
-  const auto over = m_highest_over.find(call.key.task);
+  const auto highest_ended = m_highest_ended.find(call.key.task);
   if (verdict != CallVerdict::kDone || m_running.contains(call.key)) {
     return {verdict, clock};
   }
-  if (over != m_highest_over.end() && call.key.run <= over->second) {
+  if (highest_ended != m_highest_ended.end() &&
+      call.key.run <= highest_ended->second) {
     verdict = CallVerdict::kOldNumber;
   } else if (call.lease_until_ms <= clock) {
     verdict = CallVerdict::kTooLate;
@@ -68,7 +69,7 @@
       std::max(m_lease_until_ms, std::min(call.lease_until_ms, longest));
   if (verdict == CallVerdict::kDone) {
     m_running[call.key] = now + Ms(work_ms);
-    m_taken[call.key] = needs;
+    m_used[call.key] = needs;
   }
   return {verdict, clock};
 }
@@ -77,7 +78,7 @@
   Advance(now);
   const CallVerdict verdict = Check(call.worker, call.fencing_token);
   if (verdict == CallVerdict::kDone) {
-    RunNumber& highest = m_highest_over[call.key.task];
+    RunNumber& highest = m_highest_ended[call.key.task];
     highest = std::max(highest, call.key.run);
     if (m_running.contains(call.key)) {
       End(call.key, WorkerRunEnd::kStopped);
@@ -121,11 +122,11 @@
   return next;
 }
 
-// By value: the caller's key may be the one in the map.
+// `key` is passed by value because it may refer to the map entry being erased.
 void FakeRunWorker::End(RunKey key, WorkerRunEnd end) {
   m_running.erase(key);
-  m_taken.erase(key);
-  RunNumber& highest = m_highest_over[key.task];
+  m_used.erase(key);
+  RunNumber& highest = m_highest_ended[key.task];
   highest = std::max(highest, key.run);
   m_ended.push_back({++m_sequence, key, end});
 }
--- a/test/fake_run_worker.h
+++ b/test/fake_run_worker.h
@@ -1,7 +1,7 @@
-// A worker of runs in virtual time: it guards its room, keeps a lease, refuses
-// lower fencing tokens and numbers the ends of runs. One with a birth in its
-// name carries out what was meant for a former life of its id, and only its
-// lists tell which life it is.
+// A fake worker in virtual time: it enforces its capacity, its lease and its
+// fencing token, and numbers the ends of runs. A worker with a start time in
+// its name carries out calls addressed to a former incarnation of its id, and
+// only its answers to polls identify its incarnation.
 //
 //   FakeRunWorker worker("i-1", /*clock_rate=*/0.98);
 //   worker.Start(call, now, /*work_ms=*/60)  -> {kDone, clock}
@@ -18,7 +18,7 @@
 
 namespace egretswitch::internal {
 
-// What a worker holds, and what each task takes of it.
+// The capacity of a worker, and what each task uses of it.
 inline constexpr TaskNeeds kFakeWorkerCapacity = {24000, 4096, 0};
 inline constexpr TaskNeeds kFakeTaskNeeds = {6000, 64, 0};
 
@@ -36,14 +36,15 @@
                    const TaskNeeds& needs = kFakeTaskNeeds);
   CallAnswer Stop(const StopCall& call, VirtualUs now);
   PollAnswer Poll(const PollCall& call, VirtualUs now);
-  // Ends what is done or has lapsed by now. True when something ended.
+  // Ends the runs that are done or whose lease has expired by now. Returns true
+  // if any ended.
   bool Advance(VirtualUs now);
 
   const std::string& incarnation() const { return m_incarnation; }
   const std::map<RunKey, VirtualUs>& running() const { return m_running; }
-  // What nothing that runs takes.
+  // The capacity that no run uses.
   TaskNeeds Free() const;
-  // When the next run is done, unless its lease lapses before.
+  // When the next run is done, unless its lease expires before.
   VirtualUs NextEnd() const;
 
  private:
@@ -56,9 +57,9 @@
   const VirtualUs m_clock_starts;
   int64_t m_lease_until_ms = 0;
   uint64_t m_token = 0;
-  std::map<RunKey, VirtualUs> m_running;  // and when the work is done
-  std::map<RunKey, TaskNeeds> m_taken;    // by each run that goes on
-  std::map<TaskRef, RunNumber> m_highest_over;
+  std::map<RunKey, VirtualUs> m_running;  // with the time the work is done
+  std::map<RunKey, TaskNeeds> m_used;     // by each running run
+  std::map<TaskRef, RunNumber> m_highest_ended;
   std::deque<EndedRun> m_ended;
   uint64_t m_sequence = 0;
 };
--- a/test/refused_starts_test.cc
+++ b/test/refused_starts_test.cc
@@ -1,5 +1,5 @@
-// Starts at workers that are down or turn them away: how often they are tried,
-// and how soon a worker that is sound again gets work.
+// Starts on workers that are down or refuse them: how often a start is retried,
+// and how soon a recovered worker gets work again.
 #include <boost/test/unit_test.hpp>
 #include <cstdint>
 #include <string>
@@ -13,15 +13,16 @@
 namespace egretswitch::internal {
 namespace {
 
-// A task is tried at a worker that refuses it some ten times a second, so no
-// more often in the half second for which one does.
-constexpr VirtualUs kRefusesFor = Ms(500);
-constexpr int kMostTries = 10;
+// A task is tried about ten times a second on a worker that refuses it, so no
+// more often in the half second for which the workers are down.
+constexpr VirtualUs kDownTime = Ms(500);
+constexpr int kMaxTries = 10;
 
 constexpr int kWorkers = 6;
-constexpr VirtualUs kDay = Ms(12'000);
+constexpr VirtualUs kRunTime = Ms(12'000);
 
-// One of two tasks every 20 ms, the first ones while all workers are sound.
+// One job of two tasks every 20 ms; the first ones arrive while all workers are
+// up.
 std::vector<JobPlan> SteadyJobs() {
   std::vector<JobPlan> plans;
   for (int i = 0; i < 300; ++i) {
@@ -60,51 +61,53 @@
 struct RefusedStartsFixture : RunManagerFixture {
   RefusedStartsFixture() {
     Do(PeerUp{"entry-1", 7});
-    look = LastPoll(ConnectWorker("i-1"));
+    poll = LastPoll(ConnectWorker("i-1"));
   }
 
-  // The worker's answer to a new start.
+  // Orders a new run; the worker answers its start with `verdict`.
   RunManagerActions TryToStart(CallVerdict verdict) {
     const auto calls = ActionsOf<StartCall>(SendFromEntry(Start(1, ++run)));
     BOOST_REQUIRE(calls.size() == 1u);
     return Do(StartAnswered{calls[0], {verdict, 0}});
   }
 
-  // What the entry is told last; not accepting when it is told nothing.
-  bool ToldAccepting(const RunManagerActions& actions) {
-    const auto told = SentTo<RunReports>("entry-1", actions);
-    return !told.empty() && told.back().worker.accepting;
+  // Whether the latest report to the entry says that the worker accepts runs;
+  // false if there is no report.
+  bool ReportedAccepting(const RunManagerActions& actions) {
+    const auto reported = SentTo<RunReports>("entry-1", actions);
+    return !reported.empty() && reported.back().worker.accepting;
   }
 
-  bool ToldNotAccepting(const RunManagerActions& actions) {
-    const auto told = SentTo<RunReports>("entry-1", actions);
-    return !told.empty() && !told.back().worker.accepting;
+  bool ReportedNotAccepting(const RunManagerActions& actions) {
+    const auto reported = SentTo<RunReports>("entry-1", actions);
+    return !reported.empty() && !reported.back().worker.accepting;
   }
 
-  PollCall look;
+  PollCall poll;
   RunNumber run = 0;
 };
 
 BOOST_AUTO_TEST_SUITE(refused_starts)
 
-// Guards against tasks that are tried without a pause at workers that are down.
+// Guards against tasks that are retried without a pause on workers that are
+// down.
 BOOST_AUTO_TEST_CASE(tasks_are_tried_rarely_while_all_workers_are_down) {
   for (uint64_t seed = 1; seed <= 10; ++seed) {
     RunWorld world(WorldOf(seed));
-    CrashAll(world, Ms(3000), kRefusesFor);
-    world.Run(kDay);
-    BOOST_TEST(world.MostTriesOfATask() <= kMostTries, "seed " << seed);
+    CrashAll(world, Ms(3000), kDownTime);
+    world.Run(kRunTime);
+    BOOST_TEST(world.MostTriesOfATask() <= kMaxTries, "seed " << seed);
     BOOST_TEST(world.violations().empty(), "seed " << seed);
   }
 }
 
-// Guards against jobs that fail or are turned away since their workers are
-// still avoided when these have been back for long.
+// Guards against jobs that fail or are refused because workers are still
+// avoided long after they have recovered.
 BOOST_AUTO_TEST_CASE(jobs_complete_after_a_short_crash_of_all_workers) {
   for (uint64_t seed = 1; seed <= 10; ++seed) {
     RunWorld world(WorldOf(seed));
-    CrashAll(world, Ms(3000), kRefusesFor);
-    world.Run(kDay);
+    CrashAll(world, Ms(3000), kDownTime);
+    world.Run(kRunTime);
     BOOST_TEST(world.completed() == world.jobs(), "seed " << seed);
     for (int entry = 0; entry < 3; ++entry) {
       const RunCounters& counters = world.CountersOf(entry);
@@ -115,19 +118,19 @@
 
 BOOST_FIXTURE_TEST_SUITE(agent, RefusedStartsFixture)
 
-// Guards against refused connections that count as a word of the worker, so
-// that one that is down is never found to be.
+// Guards against refused connections that count as answers of the worker, so
+// that the agent never detects that it is down.
 BOOST_AUTO_TEST_CASE(
     worker_that_refuses_a_connection_is_reported_as_not_accepting) {
   const RunManagerActions actions = TryToStart(CallVerdict::kUnreachable);
-  BOOST_TEST(ToldNotAccepting(actions));
+  BOOST_TEST(ReportedNotAccepting(actions));
   BOOST_REQUIRE(Reports(actions).size() == 1u);
   BOOST_TEST((Reports(actions)[0].end == RunEnd::kUnreachable));
-  BOOST_TEST(!ToldAccepting(Pass(kWorkerSilence)));
+  BOOST_TEST(!ReportedAccepting(Pass(kWorkerSilence)));
 }
 
-// Guards against a worker that is back and left without work: the look that
-// finds it must not wait there for an end.
+// Guards against a recovered worker that gets no work: the poll that detects it
+// must not wait at the worker for an end.
 BOOST_AUTO_TEST_CASE(recovered_worker_is_reported_within_tens_of_milliseconds) {
   RunManagerActions actions = TryToStart(CallVerdict::kUnreachable);
   const PollCall refused = LastPoll(actions);
@@ -135,11 +138,11 @@
   AnswerPoll(refused, {}, {}, CallVerdict::kUnreachable);
   const PollCall next = LastPoll(Pass(absl::Milliseconds(50)));
   BOOST_TEST((next.wait == absl::ZeroDuration()));
-  BOOST_TEST(ToldAccepting(AnswerPoll(next, {}, {})));
+  BOOST_TEST(ReportedAccepting(AnswerPoll(next, {}, {})));
 }
 
-// Guards against runs that never end since starts are refused: what ran on a
-// worker that is down is lost once its lease is certainly over.
+// Guards against runs that never end because starts are refused: the runs of a
+// worker that is down are lost once its lease has certainly expired.
 BOOST_AUTO_TEST_CASE(run_on_a_worker_that_refuses_connections_ends_as_lost) {
   const auto calls = ActionsOf<StartCall>(SendFromEntry(Start(1, ++run)));
   Do(StartAnswered{calls[0], Answer()});
--- a/test/run_manager_fixture.h
+++ b/test/run_manager_fixture.h
@@ -1,7 +1,8 @@
-// An agent's decisions with an entry and a worker that the test plays.
+// Fixture with a RunManager and a virtual clock. The test plays one entry and
+// the worker.
 //
-//   PollCall look = RunOneTask();              // i-1 runs task 0 of job 5c0e
-//   Reports(AnswerPoll(look, {}, {{1, Key(0), WorkerRunEnd::kDone}}))
+//   PollCall poll = RunOneTask();              // i-1 runs task 0 of job 5c0e
+//   Reports(AnswerPoll(poll, {}, {{1, Key(0), WorkerRunEnd::kDone}}))
 #ifndef EGRETSWITCH_TEST_RUN_MANAGER_FIXTURE_H_
 #define EGRETSWITCH_TEST_RUN_MANAGER_FIXTURE_H_
 
@@ -11,8 +12,8 @@
 #include <vector>
 
 #include "run_fixture.h"
-#include "run_manager.h"
 #include "run_limits.h"
+#include "run_manager.h"
 
 namespace egretswitch::internal {
 
@@ -41,28 +42,28 @@
     return {verdict, 5000 + clock.ms()};
   }
 
-  // The worker `incarnation` announces itself and answers the look.
+  // The worker `incarnation` announces itself and answers the agent's poll.
   RunManagerActions ConnectWorker(const std::string& incarnation) {
-    const auto looks =
+    const auto polls =
         ActionsOf<PollCall>(Do(WorkerAnnounced{Announcement(incarnation)}));
-    BOOST_REQUIRE(looks.size() == 1u);
-    return AnswerPoll(looks[0], {}, {});
+    BOOST_REQUIRE(polls.size() == 1u);
+    return AnswerPoll(polls[0], {}, {});
   }
 
-  RunManagerActions AnswerPoll(const PollCall& look,
-                              std::vector<RunKey> running,
-                              std::vector<EndedRun> ended,
-                              CallVerdict verdict = CallVerdict::kDone) {
+  RunManagerActions AnswerPoll(const PollCall& poll,
+                               std::vector<RunKey> running,
+                               std::vector<EndedRun> ended,
+                               CallVerdict verdict = CallVerdict::kDone) {
     return Do(PollAnswered{
-        look, clock.now().mono,
+        poll, clock.now().mono,
         PollAnswer{Answer(verdict), std::move(running), std::move(ended)}});
   }
 
-  // A look that the keeper sends now, or sent in `actions`.
+  // Returns the last poll in `actions`, which must contain one.
   static PollCall LastPoll(const RunManagerActions& actions) {
-    const auto looks = ActionsOf<PollCall>(actions);
-    BOOST_REQUIRE(!looks.empty());
-    return looks.back();
+    const auto polls = ActionsOf<PollCall>(actions);
+    BOOST_REQUIRE(!polls.empty());
+    return polls.back();
   }
 
   StartRuns Start(uint32_t count, RunNumber run = 1) {
@@ -95,14 +96,15 @@
     return {{"5c0e", 0, index}, run};
   }
 
-  // An entry and a worker are there; one task runs.
+  // Connects an entry and a worker and starts one task. Returns the poll in
+  // flight.
   PollCall RunOneTask() {
     Do(PeerUp{"entry-1", 7});
-    const PollCall look = LastPoll(ConnectWorker("i-1"));
+    const PollCall poll = LastPoll(ConnectWorker("i-1"));
     const auto calls = ActionsOf<StartCall>(SendFromEntry(Start(1)));
     BOOST_REQUIRE(calls.size() == 1u);
     Do(StartAnswered{calls[0], Answer()});
-    return look;
+    return poll;
   }
 
   VirtualClock clock;
--- a/test/run_manager_test.cc
+++ b/test/run_manager_test.cc
@@ -1,12 +1,12 @@
-// What an agent does with the orders of entries and the answers of its worker.
+// RunManager: orders of entries, and answers and announcements of the worker.
 #include "run_manager.h"
 
 #include <boost/test/unit_test.hpp>
 #include <string>
 #include <vector>
 
-#include "run_manager_fixture.h"
 #include "run_limits.h"
+#include "run_manager_fixture.h"
 
 namespace egretswitch::internal {
 namespace {
@@ -72,9 +72,9 @@
   ConnectWorker("i-1");
   WorkerAnnouncement leaving = Announcement("i-1");
   leaving.leaving = true;
-  const auto told = SentTo<RunReports>("entry-1", Do(WorkerAnnounced{leaving}));
-  BOOST_REQUIRE(told.size() == 1u);
-  BOOST_TEST(!told[0].worker.accepting);
+  const auto sent = SentTo<RunReports>("entry-1", Do(WorkerAnnounced{leaving}));
+  BOOST_REQUIRE(sent.size() == 1u);
+  BOOST_TEST(!sent[0].worker.accepting);
   const RunManagerActions actions = SendFromEntry(Start(1));
   BOOST_TEST(ActionsOf<StartCall>(actions).empty());
   BOOST_TEST((Reports(actions)[0].end == RunEnd::kLeaving));
@@ -94,29 +94,31 @@
 BOOST_AUTO_TEST_CASE(announcement_of_a_former_worker_is_not_adopted) {
   Do(PeerUp{"entry-1", 7});
   ConnectWorker("i-1");
-  const auto looks =
+  const auto polls =
       ActionsOf<PollCall>(Do(WorkerAnnounced{Announcement("i-0")}));
-  BOOST_REQUIRE(looks.size() == 1u);
-  AnswerPoll(looks[0], {}, {}, CallVerdict::kOtherWorker);
+  BOOST_REQUIRE(polls.size() == 1u);
+  AnswerPoll(polls[0], {}, {}, CallVerdict::kOtherWorker);
   BOOST_TEST(manager.worker().present().incarnation == "i-1");
 }
 
 BOOST_AUTO_TEST_CASE(hint_of_an_entry_is_adopted_once_the_worker_answers) {
   Do(PeerUp{"entry-1", 7});
-  const PollCall look = LastPoll(SendFromEntry(WorkerHint{Announcement("i-1")}));
+  const PollCall poll =
+      LastPoll(SendFromEntry(WorkerHint{Announcement("i-1")}));
   BOOST_TEST(!manager.worker().identified());
-  AnswerPoll(look, {}, {});
+  AnswerPoll(poll, {}, {});
   BOOST_TEST(manager.worker().present().incarnation == "i-1");
   BOOST_TEST(ActionsOf<StartCall>(SendFromEntry(Start(1))).size() == 1u);
 }
 
-// The hint dates from when the former agent met the worker, so the token made
-// of it is below that agent's.
+// The hint dates from when the former agent adopted the worker, so the token
+// made from it is below that agent's token.
 BOOST_AUTO_TEST_CASE(hint_whose_token_is_too_low_is_retried_at_once) {
   Do(PeerUp{"entry-1", 7});
-  const PollCall look = LastPoll(SendFromEntry(WorkerHint{Announcement("i-1")}));
+  const PollCall poll =
+      LastPoll(SendFromEntry(WorkerHint{Announcement("i-1")}));
   const PollCall again =
-      LastPoll(AnswerPoll(look, {}, {}, CallVerdict::kFenced));
+      LastPoll(AnswerPoll(poll, {}, {}, CallVerdict::kFenced));
   BOOST_TEST(again.worker == "i-1");
   BOOST_TEST(again.fencing_token >= static_cast<uint64_t>(Answer().clock_ms));
   AnswerPoll(again, {}, {});
@@ -125,16 +127,18 @@
 
 BOOST_AUTO_TEST_CASE(hint_that_stays_fenced_is_retried_after_a_pause) {
   Do(PeerUp{"entry-1", 7});
-  const PollCall look = LastPoll(SendFromEntry(WorkerHint{Announcement("i-1")}));
+  const PollCall poll =
+      LastPoll(SendFromEntry(WorkerHint{Announcement("i-1")}));
   const PollCall again =
-      LastPoll(AnswerPoll(look, {}, {}, CallVerdict::kFenced));
+      LastPoll(AnswerPoll(poll, {}, {}, CallVerdict::kFenced));
   BOOST_TEST(
       ActionsOf<PollCall>(AnswerPoll(again, {}, {}, CallVerdict::kFenced))
           .empty());
   BOOST_TEST(!ActionsOf<PollCall>(Pass(absl::Milliseconds(60))).empty());
 }
 
-// Whoever wrote it, it must not take the worker away from its entries.
+// Any process can send such a report; it must not make the worker unavailable
+// to its entries.
 BOOST_AUTO_TEST_CASE(
     report_with_another_service_of_the_worker_changes_nothing) {
   Do(PeerUp{"entry-1", 7});
@@ -162,11 +166,13 @@
 
 BOOST_AUTO_TEST_CASE(hint_of_a_former_worker_is_dropped) {
   Do(PeerUp{"entry-1", 7});
-  const PollCall look = LastPoll(SendFromEntry(WorkerHint{Announcement("i-0")}));
-  AnswerPoll(look, {}, {}, CallVerdict::kOtherWorker);
+  const PollCall poll =
+      LastPoll(SendFromEntry(WorkerHint{Announcement("i-0")}));
+  AnswerPoll(poll, {}, {}, CallVerdict::kOtherWorker);
   BOOST_TEST(!manager.worker().identified());
   ConnectWorker("i-1");
-  BOOST_TEST(ActionsOf<PollCall>(SendFromEntry(WorkerHint{Announcement("i-0")})).empty());
+  BOOST_TEST(ActionsOf<PollCall>(SendFromEntry(WorkerHint{Announcement("i-0")}))
+                 .empty());
 }
 
 BOOST_AUTO_TEST_CASE(hint_of_a_leaving_worker_starts_nothing_on_it) {
@@ -179,27 +185,28 @@
 
 BOOST_AUTO_TEST_CASE(overdue_long_poll_is_joined_by_a_short_one) {
   RunOneTask();
-  const auto quick = ActionsOf<PollCall>(Pass(kPollOverdue));
-  BOOST_REQUIRE(quick.size() == 1u);
-  BOOST_TEST((quick[0].wait == absl::ZeroDuration()));
-  BOOST_TEST(quick[0].lease_until_ms > 0);
+  const auto short_poll = ActionsOf<PollCall>(Pass(kPollOverdue));
+  BOOST_REQUIRE(short_poll.size() == 1u);
+  BOOST_TEST((short_poll[0].wait == absl::ZeroDuration()));
+  BOOST_TEST(short_poll[0].lease_until_ms > 0);
 }
 
 BOOST_AUTO_TEST_CASE(worker_replaced_by_another_ends_its_runs) {
   RunOneTask();
-  const auto looks =
+  const auto polls =
       ActionsOf<PollCall>(Do(WorkerAnnounced{Announcement("i-2")}));
-  const auto reports = Reports(AnswerPoll(looks[0], {}, {}));
+  const auto reports = Reports(AnswerPoll(polls[0], {}, {}));
   BOOST_REQUIRE(reports.size() == 1u);
   BOOST_TEST((reports[0].end == RunEnd::kWorkerLost));
   BOOST_TEST(manager.worker().present().incarnation == "i-2");
 }
 
-BOOST_AUTO_TEST_CASE(end_listed_by_the_worker_is_reported_once_and_acknowledged) {
-  const PollCall look = RunOneTask();
+BOOST_AUTO_TEST_CASE(
+    end_listed_by_the_worker_is_reported_once_and_acknowledged) {
+  const PollCall poll = RunOneTask();
   clock.Advance(absl::Milliseconds(60));
   const EndedRun done{1, Key(0), WorkerRunEnd::kDone};
-  const RunManagerActions actions = AnswerPoll(look, {}, {done});
+  const RunManagerActions actions = AnswerPoll(poll, {}, {done});
   const auto reports = Reports(actions);
   BOOST_REQUIRE(reports.size() == 1u);
   BOOST_TEST((reports[0].end == RunEnd::kDone));
@@ -210,10 +217,10 @@
 }
 
 BOOST_AUTO_TEST_CASE(polls_follow_each_other_and_renew_the_lease) {
-  const PollCall look = RunOneTask();
-  BOOST_TEST((look.wait == kPollWait));
+  const PollCall poll = RunOneTask();
+  BOOST_TEST((poll.wait == kPollWait));
   clock.Advance(kPollWait);
-  const PollCall next = LastPoll(AnswerPoll(look, {Key(0)}, {}));
+  const PollCall next = LastPoll(AnswerPoll(poll, {Key(0)}, {}));
   BOOST_TEST(next.lease_until_ms ==
              5000 + clock.ms() + absl::ToInt64Milliseconds(kWorkerLease));
 }
@@ -230,7 +237,7 @@
 BOOST_AUTO_TEST_CASE(renewal_extends_runs_from_its_send_time) {
   RunOneTask();
   const RenewRuns renewal{clock.ms() + 100, {}};
-  clock.Advance(absl::Milliseconds(300));  // it is under way for 200 ms
+  clock.Advance(absl::Milliseconds(300));  // it was in transit for 200 ms
   SendFromEntry(renewal);
   BOOST_TEST((manager.NextWake() <=
               absl::Milliseconds(renewal.sent_at_ms) + kEntrySilence));
@@ -245,74 +252,77 @@
 }
 
 BOOST_AUTO_TEST_CASE(reconnected_link_keeps_runs_and_reports) {
-  const PollCall look = RunOneTask();
+  const PollCall poll = RunOneTask();
   Do(PeerDown{"entry-1", 7});
-  BOOST_TEST(Reports(AnswerPoll(look, {}, {{1, Key(0), WorkerRunEnd::kDone}}))
+  BOOST_TEST(Reports(AnswerPoll(poll, {}, {{1, Key(0), WorkerRunEnd::kDone}}))
                  .empty());
   const RunManagerActions actions = Do(PeerUp{"entry-1", 7});
   BOOST_TEST(ActionsOf<StopCall>(actions).empty());
   BOOST_TEST(Reports(actions).size() == 1u);
 }
 
-// A report lost with its link would leave its job waiting until its timeout.
+// If a report that is lost with its link were not resent, its job would wait
+// until its timeout.
 BOOST_AUTO_TEST_CASE(end_whose_report_was_lost_is_resent_on_the_next_link) {
-  const PollCall look = RunOneTask();
-  BOOST_TEST(Reports(AnswerPoll(look, {}, {{1, Key(0), WorkerRunEnd::kDone}}))
+  const PollCall poll = RunOneTask();
+  BOOST_TEST(Reports(AnswerPoll(poll, {}, {{1, Key(0), WorkerRunEnd::kDone}}))
                  .size() == 1u);
   Do(PeerDown{"entry-1", 7});
   Do(PeerUp{"entry-1", 7});
-  const auto told =
-      Reports(SendFromEntry(RenewRuns{clock.ms(), {}, {{Key(0).task, Key(0).run, 0}}}));
-  BOOST_REQUIRE(told.size() == 1u);
-  BOOST_TEST((told[0].end == RunEnd::kDone));
+  const auto sent = Reports(
+      SendFromEntry(RenewRuns{clock.ms(), {}, {{Key(0).task, Key(0).run, 0}}}));
+  BOOST_REQUIRE(sent.size() == 1u);
+  BOOST_TEST((sent[0].end == RunEnd::kDone));
 }
 
-// An order lost with its link would leave its job waiting until its timeout.
+// If an order that is lost with its link were not reported, its job would wait
+// until its timeout.
 BOOST_AUTO_TEST_CASE(run_whose_order_was_lost_is_reported_as_stopped) {
   RunOneTask();
-  const auto told = Reports(SendFromEntry(RenewRuns{
+  const auto sent = Reports(SendFromEntry(RenewRuns{
       clock.ms(), {}, {{Key(0).task, Key(0).run, 0}, {Key(1).task, 1, 0}}}));
-  BOOST_REQUIRE(told.size() == 1u);
-  BOOST_TEST(told[0].task.index == 1u);
-  BOOST_TEST((told[0].end == RunEnd::kStopped));
+  BOOST_REQUIRE(sent.size() == 1u);
+  BOOST_TEST(sent[0].task.index == 1u);
+  BOOST_TEST((sent[0].end == RunEnd::kStopped));
 }
 
 BOOST_AUTO_TEST_CASE(stop_of_one_run_leaves_the_others) {
   Do(PeerUp{"entry-1", 7});
   ConnectWorker("i-1");
   SendFromEntry(Start(2));
-  const auto stops = ActionsOf<StopCall>(SendFromEntry(StopRuns{"5c0e", 0, {{1, 1}}}));
+  const auto stops =
+      ActionsOf<StopCall>(SendFromEntry(StopRuns{"5c0e", 0, {{1, 1}}}));
   BOOST_REQUIRE(stops.size() == 1u);
   BOOST_TEST((stops[0].key == Key(1)));
 }
 
 BOOST_AUTO_TEST_CASE(start_unanswered_and_listed_keeps_running) {
   Do(PeerUp{"entry-1", 7});
-  const PollCall look = LastPoll(ConnectWorker("i-1"));
+  const PollCall poll = LastPoll(ConnectWorker("i-1"));
   const auto calls = ActionsOf<StartCall>(SendFromEntry(Start(1)));
   clock.Advance(absl::Milliseconds(150));
   const RunManagerActions actions =
       Do(StartAnswered{calls[0], {CallVerdict::kUnknown, 0}});
-  const PollCall quick = LastPoll(actions);
-  BOOST_TEST((quick.wait == absl::ZeroDuration()));
+  const PollCall short_poll = LastPoll(actions);
+  BOOST_TEST((short_poll.wait == absl::ZeroDuration()));
   clock.Advance(absl::Milliseconds(1));
-  BOOST_TEST(ActionsOf<StopCall>(AnswerPoll(quick, {Key(0)}, {})).empty());
+  BOOST_TEST(ActionsOf<StopCall>(AnswerPoll(short_poll, {Key(0)}, {})).empty());
   clock.Advance(absl::Milliseconds(1));
   const auto reports =
-      Reports(AnswerPoll(look, {}, {{1, Key(0), WorkerRunEnd::kDone}}));
+      Reports(AnswerPoll(poll, {}, {{1, Key(0), WorkerRunEnd::kDone}}));
   BOOST_TEST(reports.size() == 1u);
 }
 
-// The worker may carry the start out much later; once it has answered a stop it
-// never will, and only then is the run reported as over.
+// The worker may carry out the start much later, unless it has answered a stop.
+// Only then is the run reported as over.
 BOOST_AUTO_TEST_CASE(start_unanswered_and_not_listed_is_stopped_then_reported) {
   Do(PeerUp{"entry-1", 7});
   ConnectWorker("i-1");
   const auto calls = ActionsOf<StartCall>(SendFromEntry(Start(1)));
-  const PollCall quick =
+  const PollCall short_poll =
       LastPoll(Do(StartAnswered{calls[0], {CallVerdict::kUnknown, 0}}));
   clock.Advance(absl::Milliseconds(1));
-  const RunManagerActions stopping = AnswerPoll(quick, {}, {});
+  const RunManagerActions stopping = AnswerPoll(short_poll, {}, {});
   const auto stops = ActionsOf<StopCall>(stopping);
   BOOST_REQUIRE(stops.size() == 1u);
   BOOST_TEST(Reports(stopping).empty());
@@ -333,49 +343,51 @@
   BOOST_TEST((second[0].key == first[0].key));
   BOOST_TEST(second[0].spec == first[0].spec);
   Do(StartAnswered{second[0], Answer()});
-  // The first call's fate says nothing any more.
+  // The first call's result no longer matters.
   Do(StartAnswered{first[0], {CallVerdict::kUnknown, 0}});
   BOOST_TEST(ActionsOf<StartCall>(Pass(kStartRetry)).empty());
   BOOST_TEST(manager.runs() == 1u);
 }
 
-// One lost answer would hide the ends of all runs until the look is overdue.
+// With one long poll, a lost answer would hide the ends of all runs until the
+// poll is overdue.
 BOOST_AUTO_TEST_CASE(second_long_poll_is_sent_while_calls_get_lost) {
   RunOneTask();
   const auto first = ActionsOf<StartCall>(SendFromEntry(Start(1, 5)));
-  const auto looks = ActionsOf<PollCall>(Pass(kStartRetry));
-  BOOST_REQUIRE(looks.size() == 2u);
-  BOOST_TEST((looks[0].wait == kPollWait));
-  BOOST_TEST((looks[1].wait == absl::ZeroDuration()));
+  const auto polls = ActionsOf<PollCall>(Pass(kStartRetry));
+  BOOST_REQUIRE(polls.size() == 2u);
+  BOOST_TEST((polls[0].wait == kPollWait));
+  BOOST_TEST((polls[1].wait == absl::ZeroDuration()));
   const auto reports =
-      Reports(AnswerPoll(looks[0], {}, {{1, Key(0), WorkerRunEnd::kDone}}));
+      Reports(AnswerPoll(polls[0], {}, {{1, Key(0), WorkerRunEnd::kDone}}));
   BOOST_TEST(reports.size() == 1u);
 }
 
-// However many of them get lost, up to a bound; and none while nothing runs.
+// Lost short polls do not delay the next one, up to a limit of open ones. No
+// short poll is sent while nothing runs: see the next test.
 BOOST_AUTO_TEST_CASE(short_polls_follow_each_other_while_calls_get_lost) {
   RunOneTask();
   SendFromEntry(Start(1, 5));
   Pass(kStartRetry);
-  size_t looks = 1;
+  size_t polls = 1;
   for (int i = 0; i < 20; ++i) {
     BOOST_TEST(
         (manager.NextWake() <= clock.now().mono + absl::Milliseconds(50)));
-    for (const PollCall& look :
+    for (const PollCall& poll :
          ActionsOf<PollCall>(Pass(absl::Milliseconds(5)))) {
-      looks += look.wait == absl::ZeroDuration() ? 1 : 0;
+      polls += poll.wait == absl::ZeroDuration() ? 1 : 0;
     }
   }
-  BOOST_TEST(looks >= 5u);
-  BOOST_TEST(looks <= 8u);
+  BOOST_TEST(polls >= 5u);
+  BOOST_TEST(polls <= 8u);
 }
 
 BOOST_AUTO_TEST_CASE(short_polls_end_with_the_last_run) {
   RunOneTask();
   SendFromEntry(Start(1, 5));
-  const PollCall look = LastPoll(Pass(kStartRetry));
+  const PollCall poll = LastPoll(Pass(kStartRetry));
   AnswerPoll(
-      look, {},
+      poll, {},
       {{1, Key(0), WorkerRunEnd::kDone}, {2, Key(0, 5), WorkerRunEnd::kDone}});
   BOOST_TEST(manager.runs() == 0u);
   BOOST_TEST(ActionsOf<PollCall>(Pass(absl::Milliseconds(100))).empty());
@@ -392,7 +404,7 @@
   BOOST_TEST(repeated == kMaxStartCalls - 1);
 }
 
-// The first call may have started the run, and the run may have ended since.
+// The first call may have started the run, which may have ended since.
 BOOST_AUTO_TEST_CASE(start_refused_after_a_lost_call_may_have_run) {
   Do(PeerUp{"entry-1", 7});
   ConnectWorker("i-1");
@@ -405,7 +417,7 @@
   const RunManagerActions lost =
       Do(StartAnswered{first[0], {CallVerdict::kUnknown, 0}});
   BOOST_TEST(Reports(lost).empty());
-  // The look that went out with the second call.
+  // Answers the poll that was sent with the second call.
   const auto reports = Reports(
       AnswerPoll(LastPoll(again), {}, {{1, Key(0), WorkerRunEnd::kDone}}));
   BOOST_REQUIRE(reports.size() == 1u);
@@ -424,8 +436,8 @@
   BOOST_TEST((reports[0].end == RunEnd::kNoRoom));
 }
 
-// Its processor is not the agent's alone: what waits for a look must not wake
-// it again and again meanwhile.
+// The agent shares its processor with the worker: a run that waits for a poll
+// must not wake the agent repeatedly in the meantime.
 BOOST_AUTO_TEST_CASE(answered_stop_sets_no_wake_time_in_the_past) {
   RunOneTask();
   const auto stops = ActionsOf<StopCall>(Pass(kEntrySilence));
@@ -436,14 +448,15 @@
 
 BOOST_AUTO_TEST_CASE(stop_without_an_answer_is_repeated) {
   RunOneTask();
-  BOOST_TEST(ActionsOf<StopCall>(SendFromEntry(StopRuns{"5c0e", 0, {}})).size() == 1u);
+  BOOST_TEST(
+      ActionsOf<StopCall>(SendFromEntry(StopRuns{"5c0e", 0, {}})).size() == 1u);
   BOOST_TEST(ActionsOf<StopCall>(Pass(kStopRetry)).size() == 1u);
 }
 
 BOOST_AUTO_TEST_CASE(run_of_no_entry_is_stopped) {
   Do(PeerUp{"entry-1", 7});
-  const PollCall look = LastPoll(ConnectWorker("i-1"));
-  const auto stops = ActionsOf<StopCall>(AnswerPoll(look, {Key(3, 9)}, {}));
+  const PollCall poll = LastPoll(ConnectWorker("i-1"));
+  const auto stops = ActionsOf<StopCall>(AnswerPoll(poll, {Key(3, 9)}, {}));
   BOOST_REQUIRE(stops.size() == 1u);
   BOOST_TEST((stops[0].key == Key(3, 9)));
 }
@@ -460,28 +473,29 @@
   BOOST_TEST(again[0].fencing_token > calls[0].fencing_token);
 }
 
-// Without an answer for long, the lease is no longer renewed; the runs are
-// reported as over only when the last lease has certainly run out.
-BOOST_AUTO_TEST_CASE(unresponsive_worker_has_its_runs_reported_after_the_last_lease) {
-  PollCall look = RunOneTask();
+// The lease of an unresponsive worker is no longer renewed. Its runs are
+// reported as over only once the last lease has certainly expired.
+BOOST_AUTO_TEST_CASE(
+    unresponsive_worker_has_its_runs_reported_after_the_last_lease) {
+  PollCall poll = RunOneTask();
   std::vector<RunReport> reports;
   absl::Duration waited;
   absl::Duration last_lease;
   while (reports.empty() && waited < absl::Seconds(5)) {
     SendFromEntry(RenewRuns{clock.ms(), {}});
-    if (look.lease_until_ms > 0) {
+    if (poll.lease_until_ms > 0) {
       last_lease = waited;
     }
     clock.Advance(absl::Milliseconds(100));
     waited += absl::Milliseconds(100);
     const RunManagerActions failed =
-        AnswerPoll(look, {}, {}, CallVerdict::kUnknown);
+        AnswerPoll(poll, {}, {}, CallVerdict::kUnknown);
     reports = Reports(failed);
     const RunManagerActions next = Pass(absl::Milliseconds(50));
     waited += absl::Milliseconds(50);
-    const auto looks = ActionsOf<PollCall>(next);
-    if (!looks.empty()) {
-      look = looks.back();
+    const auto polls = ActionsOf<PollCall>(next);
+    if (!polls.empty()) {
+      poll = polls.back();
     }
     if (reports.empty()) {
       reports = Reports(next);
@@ -494,28 +508,28 @@
 
 BOOST_AUTO_TEST_CASE(freed_capacity_is_reported_to_an_entry_that_was_refused) {
   Do(PeerUp{"entry-1", 7});
-  const PollCall look = LastPoll(ConnectWorker("i-1"));
+  const PollCall poll = LastPoll(ConnectWorker("i-1"));
   SendFromEntry(Start(11));
   Do(PeerUp{"entry-2", 9});
   const auto second =
       Do(PeerSaid{"entry-2", 9, Start(1, 5)});  // refused: the worker is full
   BOOST_TEST(ActionsOf<StartCall>(second).empty());
   const RunManagerActions actions = AnswerPoll(
-      look, {},
+      poll, {},
       {{1, Key(0), WorkerRunEnd::kDone}, {2, Key(1), WorkerRunEnd::kDone}});
-  const auto told = SentTo<RunReports>("entry-2", actions);
-  BOOST_REQUIRE(told.size() == 1u);
-  BOOST_TEST(told[0].worker.free.millicores > 0u);
+  const auto sent = SentTo<RunReports>("entry-2", actions);
+  BOOST_REQUIRE(sent.size() == 1u);
+  BOOST_TEST(sent[0].worker.free.millicores > 0u);
 }
 
 BOOST_AUTO_TEST_CASE(freed_capacity_is_reported_to_an_entry_that_requested_it) {
   Do(PeerUp{"entry-1", 7});
-  const PollCall look = LastPoll(ConnectWorker("i-1"));
+  const PollCall poll = LastPoll(ConnectWorker("i-1"));
   SendFromEntry(Start(10));
   Do(PeerUp{"entry-2", 9});
   Do(PeerSaid{"entry-2", 9, RenewRuns{clock.ms(), {{0, kSixCores, 1}}}});
   const RunManagerActions actions = AnswerPoll(
-      look, {},
+      poll, {},
       {{1, Key(0), WorkerRunEnd::kDone}, {2, Key(1), WorkerRunEnd::kDone}});
   BOOST_TEST(SentTo<RunReports>("entry-2", actions).size() == 1u);
 }
@@ -525,14 +539,14 @@
   Do(PeerUp{"entry-1", 7});
   Do(PeerUp{"entry-2", 9});
   Do(PeerUp{"entry-3", 3});
-  const PollCall look = LastPoll(ConnectWorker("i-1"));
+  const PollCall poll = LastPoll(ConnectWorker("i-1"));
   for (const StartCall& call : ActionsOf<StartCall>(SendFromEntry(Start(10)))) {
     Do(StartAnswered{call, Answer()});
   }
   Do(PeerSaid{"entry-3", 3, RenewRuns{clock.ms(), {{2, kSixCores, 9}}}});
   Do(PeerSaid{"entry-2", 9, RenewRuns{clock.ms(), {{1, kSixCores, 1}}}});
   const RunManagerActions actions =
-      AnswerPoll(look, {}, {{1, Key(0), WorkerRunEnd::kDone}});
+      AnswerPoll(poll, {}, {{1, Key(0), WorkerRunEnd::kDone}});
   BOOST_TEST(SentTo<RunReports>("entry-2", actions).size() == 1u);
   BOOST_TEST(SentTo<RunReports>("entry-3", actions).empty());
 }
@@ -540,25 +554,26 @@
 BOOST_AUTO_TEST_CASE(
     capacity_for_one_task_is_reported_to_the_longest_waiting_entry) {
   Do(PeerUp{"entry-1", 7});
-  const PollCall look = LastPoll(ConnectWorker("i-1"));
+  const PollCall poll = LastPoll(ConnectWorker("i-1"));
   SendFromEntry(Start(10));  // 4 of 64 cores are left
   Do(PeerUp{"entry-3", 3});
   Do(PeerUp{"entry-2", 9});
   Do(PeerSaid{"entry-3", 3, RenewRuns{clock.ms(), {{0, kSixCores, 1}}}});
   Do(PeerSaid{"entry-2", 9, RenewRuns{clock.ms(), {{0, kSixCores, 1}}}});
   const RunManagerActions first =
-      AnswerPoll(look, {}, {{1, Key(0), WorkerRunEnd::kDone}});
+      AnswerPoll(poll, {}, {{1, Key(0), WorkerRunEnd::kDone}});
   BOOST_TEST(SentTo<RunReports>("entry-3", first).size() == 1u);
   BOOST_TEST(SentTo<RunReports>("entry-2", first).empty());
-  // The first one has no use for it.
+  // The first entry does not use its reservation.
   BOOST_TEST((manager.NextWake() <= clock.now().mono + absl::Milliseconds(10)));
   BOOST_TEST(
       SentTo<RunReports>("entry-2", Pass(absl::Milliseconds(11))).size() == 1u);
 }
 
-BOOST_AUTO_TEST_CASE(capacity_goes_more_often_to_the_entry_with_more_waiting_tasks) {
+BOOST_AUTO_TEST_CASE(
+    capacity_goes_more_often_to_the_entry_with_more_waiting_tasks) {
   Do(PeerUp{"entry-1", 7});
-  PollCall look = LastPoll(ConnectWorker("i-1"));
+  PollCall poll = LastPoll(ConnectWorker("i-1"));
   SendFromEntry(Start(10));  // 4 of 64 cores are left
   Do(PeerUp{"entry-2", 9});
   Do(PeerUp{"entry-3", 3});
@@ -568,9 +583,10 @@
   size_t third = 0;
   for (uint32_t i = 0; i < 5; ++i) {
     const RunManagerActions actions =
-        AnswerPoll(look, {}, {{i + 1, Key(i), WorkerRunEnd::kDone}});
-    look = LastPoll(actions);
-    // Who is told has no use for it, so that the next one is told later.
+        AnswerPoll(poll, {}, {{i + 1, Key(i), WorkerRunEnd::kDone}});
+    poll = LastPoll(actions);
+    // The notified entry does not use the capacity, so the other is notified
+    // later.
     second += SentTo<RunReports>("entry-2", actions).size();
     third += SentTo<RunReports>("entry-3", actions).size();
   }
@@ -578,13 +594,14 @@
   BOOST_TEST(third > 0u);
 }
 
-BOOST_AUTO_TEST_CASE(capacity_reserved_for_one_entry_is_withheld_from_the_others) {
+BOOST_AUTO_TEST_CASE(
+    capacity_reserved_for_one_entry_is_withheld_from_the_others) {
   Do(PeerUp{"entry-1", 7});
-  const PollCall look = LastPoll(ConnectWorker("i-1"));
+  const PollCall poll = LastPoll(ConnectWorker("i-1"));
   SendFromEntry(Start(10));  // 4 of 64 cores are left
   Do(PeerUp{"entry-3", 3});
   Do(PeerSaid{"entry-3", 3, RenewRuns{clock.ms(), {{0, kSixCores, 1}}}});
-  AnswerPoll(look, {}, {{1, Key(0), WorkerRunEnd::kDone}});
+  AnswerPoll(poll, {}, {{1, Key(0), WorkerRunEnd::kDone}});
   StartRuns other = Start(1, 9);
   BOOST_TEST(ActionsOf<StartCall>(SendFromEntry(other)).empty());
   other.job = "1a2b";
@@ -594,21 +611,21 @@
 
 BOOST_AUTO_TEST_CASE(capacity_too_small_for_the_waiting_tasks_is_not_reported) {
   Do(PeerUp{"entry-1", 7});
-  const PollCall look = LastPoll(ConnectWorker("i-1"));
+  const PollCall poll = LastPoll(ConnectWorker("i-1"));
   SendFromEntry(Start(10));
   Do(PeerUp{"entry-2", 9});
   Do(PeerSaid{"entry-2", 9, RenewRuns{clock.ms(), {{0, kWholeWorker, 1}}}});
   const RunManagerActions actions =
-      AnswerPoll(look, {}, {{1, Key(0), WorkerRunEnd::kDone}});
+      AnswerPoll(poll, {}, {{1, Key(0), WorkerRunEnd::kDone}});
   BOOST_TEST(SentTo<RunReports>("entry-2", actions).empty());
 }
 
 BOOST_AUTO_TEST_CASE(drain_finishes_what_runs_and_takes_nothing_new) {
-  const PollCall look = RunOneTask();
+  const PollCall poll = RunOneTask();
   Do(DrainBegan{});
   BOOST_TEST(!manager.Finished());
   BOOST_TEST(ActionsOf<StartCall>(SendFromEntry(Start(1, 2))).empty());
-  AnswerPoll(look, {}, {{1, Key(0), WorkerRunEnd::kDone}});
+  AnswerPoll(poll, {}, {{1, Key(0), WorkerRunEnd::kDone}});
   BOOST_TEST(manager.Finished());
 }
 
--- a/test/soak/soak_faults.cc
+++ b/test/soak/soak_faults.cc
@@ -82,7 +82,8 @@
   };
   const auto& workers = m_deployment.workers();
   const int percent = draw(33, 100);
-  const CrashMode away = draw(0, 2) == 0 ? CrashMode::kUnresponsive : CrashMode::kResetConnections;
+  const CrashMode away =
+      draw(0, 2) == 0 ? CrashMode::kUnresponsive : CrashMode::kResetConnections;
   std::string names;
   for (size_t i = 0; i < workers.size(); ++i) {
     const absl::Duration duration = absl::Milliseconds(draw(100, 1000));
@@ -92,8 +93,9 @@
       m_deployment.CrashWorker(i, away, duration);
     }
   }
-  Note(absl::StrCat(away == CrashMode::kUnresponsive ? "crash unseen:" : "crash together:",
-                    names));
+  Note(absl::StrCat(
+      away == CrashMode::kUnresponsive ? "crash unseen:" : "crash together:",
+      names));
 }
 
 // Series of silences, each with a change of the configuration beside it.
