--- a/cmake/runs.cmake
+++ b/cmake/runs.cmake
@@ -12,7 +12,7 @@
   src/link_selection.cc
   src/member_list.cc
   src/member_record.cc
-  src/neighbour_fetch.cc
+  src/peer_fetch.cc
   src/open_job.cc
   src/recent_ends.cc
   src/remote_clock.cc
--- a/src/caller_codec.h
+++ b/src/caller_codec.h
@@ -1,5 +1,6 @@
-// What callers of jobs made of steps send and get, whatever the protocol they
-// speak; the adapter of the platform translates.
+// Interface that translates the requests and answers of callers whose jobs are
+// made of steps, independent of the protocol; implemented by the platform's
+// adapter.
 #ifndef EGRETSWITCH_SRC_CALLER_CODEC_H_
 #define EGRETSWITCH_SRC_CALLER_CODEC_H_
 
@@ -25,19 +26,20 @@
 
 struct CallerRequest {
   CallerVerb verb = CallerVerb::kOther;
-  std::string host;                                    // without a port
-  absl::Duration patience = absl::InfiniteDuration();  // until it leaves
+  std::string host;  // without a port
+  absl::Duration patience =
+      absl::InfiniteDuration();  // until the caller gives up
 };
 
 class CallerCodec {
  public:
   virtual ~CallerCodec() = default;
 
-  // Headers that Classify() looks at.
+  // The headers that Classify() reads.
   virtual std::vector<std::string> WantedHeaders() const = 0;
   virtual CallerRequest Classify(const HttpRequest& request) const = 0;
 
-  // The error is the caller's and names the field at fault.
+  // An error is the caller's fault and names the invalid field.
   virtual absl::StatusOr<StepJob> DecodeJob(std::string_view id,
                                             std::string_view body) const = 0;
   virtual HttpResponse Encode(const JobAnswer& answer) const = 0;
--- a/src/daemon_main.cc
+++ b/src/daemon_main.cc
@@ -1,11 +1,12 @@
-// egretswitchd: one process of the system, an entry or an agent by its
-// settings.
+// egretswitchd: runs one process of the system, an entry or an agent as its
+// settings say.
 //
 //   egretswitchd /etc/egretswitch/entry.yaml
 //   egretswitchd entry.yaml --check
 //
-// SIGTERM and SIGINT begin a graceful shutdown: nothing in progress is cut off.
-// SIGHUP is ignored: changed settings take a restart, which costs no request.
+// SIGTERM and SIGINT start a graceful shutdown, which cuts off no work in
+// progress. SIGHUP is ignored: changed settings need a restart, which loses no
+// request.
 #include <sys/epoll.h>
 #include <sys/signalfd.h>
 #include <unistd.h>
@@ -39,8 +40,8 @@
 constexpr int kExitUserError = 2;
 constexpr char kVersion[] = EGRETSWITCH_VERSION;
 
-// Blocks the stop signals in every thread and gives a descriptor that tells of
-// them.
+// Blocks the stop signals in every thread and returns a descriptor that becomes
+// readable when one arrives.
 UniqueFd OpenStopSignals() {
   sigset_t signals;
   sigemptyset(&signals);
@@ -52,18 +53,18 @@
   return UniqueFd(signalfd(-1, &signals, SFD_NONBLOCK | SFD_CLOEXEC));
 }
 
-void Discard(int fd) {
+void DrainSignals(int fd) {
   signalfd_siginfo info;
   while (read(fd, &info, sizeof info) > 0) {
   }
 }
 
-NoteStateChange StartedNote(const CommonSettings& settings) {
-  NoteStateChange note;
-  note.what = "process started";
-  note.fields.push_back({"listen", settings.listen.Text()});
-  note.fields.push_back({"data_centre", settings.data_centre});
-  return note;
+NoteStateChange MakeStartedEvent(const CommonSettings& settings) {
+  NoteStateChange event;
+  event.what = "process started";
+  event.fields.push_back({"listen", settings.listen.Text()});
+  event.fields.push_back({"data_centre", settings.data_centre});
+  return event;
 }
 
 // Runs the daemon until its graceful shutdown is complete.
@@ -79,7 +80,7 @@
   }
   LogStateChange(started);
   loop.Watch(signal_fd, EPOLLIN, [&daemon, signal_fd](uint32_t) {
-    Discard(signal_fd);
+    DrainSignals(signal_fd);
     LogStateChange({"graceful shutdown began", {}});
     daemon.BeginDrain();
   });
@@ -95,10 +96,10 @@
               int signal_fd) {
   EventLoop loop;
   Daemon daemon(loop, common, role);
-  return RunUntilDrained(loop, daemon, StartedNote(common), signal_fd);
+  return RunUntilDrained(loop, daemon, MakeStartedEvent(common), signal_fd);
 }
 
-// The roles that serve jobs made of steps on the platform.
+// Runs an entry or agent that serves jobs made of steps on the platform.
 int RunSteps(const StepSettings& settings, int signal_fd) {
   const StepCommonSettings& common = settings.common;
   const absl::Status status = StartLogging(common.logging, common.name);
@@ -162,8 +163,8 @@
 }
 
 int Main(int argc, char** argv) {
-  // Before anything else: a signal that comes while the settings are read is
-  // not the end of the process.
+  // Must be first, so that a signal that arrives while the settings are read
+  // doesn't kill the process.
   const UniqueFd signals = OpenStopSignals();
   cxxopts::Options options("egretswitchd",
                            "Dispatcher for sub-second tasks: one process, an "
@@ -219,7 +220,7 @@
 int main(int argc, char** argv) {
   const int exit_code = egretswitch::internal::Main(argc, argv);
   std::cout.flush();
-  // Past the destructors of static objects: a library's may wait for a thread
-  // of its own, and a process that has answered everything must be gone.
+  // Skips the destructors of static objects: one of a library may wait for a
+  // thread of its own, and a process that has answered everything must exit.
   std::quick_exit(exit_code);
 }
--- a/src/deployment_tables.cc
+++ b/src/deployment_tables.cc
@@ -1,5 +1,5 @@
-// Whoever may write to the store, what can't be read names nothing to use, and
-// its neighbours hold.
+// Other writers may put any bytes into the store. An unreadable record is
+// skipped and counted; the records around it are applied.
 #include "deployment_tables.h"
 
 #include <algorithm>
@@ -16,11 +16,11 @@
 namespace egretswitch::internal {
 namespace {
 
-// Up to the longest key of the store.
-constexpr size_t kLongestName = 255;
+// The longest key that the store accepts.
+constexpr size_t kMaxNameLength = 255;
 
 bool IsDataCentreName(std::string_view name) {
-  return !name.empty() && name.size() <= kLongestName &&
+  return !name.empty() && name.size() <= kMaxNameLength &&
          std::all_of(name.begin(), name.end(),
                      [](unsigned char c) { return absl::ascii_isgraph(c); });
 }
@@ -40,16 +40,16 @@
           TimersOf(loop),
           m_source.store,
           StoreTable::kConfig,
-          m_source.config_within,
+          m_source.config_apply_limit,
           [this](const KeyedPage& page) { OnOperatorsPage(page); },
-          [this] { OnFailure(StoreTable::kConfig); }),
+          [this] { OnStoreFailure(StoreTable::kConfig); }),
       m_members_follower(
           TimersOf(loop),
           m_source.store,
           StoreTable::kMembers,
-          m_source.config_within,
+          m_source.config_apply_limit,
           [this](const KeyedPage& page) { OnMembersPage(page); },
-          [this] { OnFailure(StoreTable::kMembers); }) {}
+          [this] { OnStoreFailure(StoreTable::kMembers); }) {}
 
 void DeploymentTables::Start() {
   m_config_follower.Start();
@@ -58,21 +58,21 @@
 
 // ---- The store
 
-void DeploymentTables::OnFailure(StoreTable table) {
+void DeploymentTables::OnStoreFailure(StoreTable table) {
   m_counters.Add(RunCounter::kStoreFailures);
-  Deliver(StoreSeen{table, true});
+  Deliver(StoreReadResult{table, true});
 }
 
-// Evacuations first: when a configuration opens the entry to callers, it knows
-// where their work may go.
+// Evacuations are applied first: the first configuration opens the entry to
+// callers, and by then the entry must have the evacuated data centres.
 void DeploymentTables::OnOperatorsPage(const KeyedPage& page) {
-  Deliver(StoreSeen{StoreTable::kConfig, false});
+  Deliver(StoreReadResult{StoreTable::kConfig, false});
   ReadEvacuations(page);
   ReadConfig(page);
 }
 
-// A data centre whose record can't be read is evacuated all the same: the name
-// is what counts, and in doubt nothing is sent there.
+// A data centre is evacuated even if the value of its record can't be read: the
+// key names the data centre, and if uncertain, no work is sent there.
 void DeploymentTables::ReadEvacuations(const KeyedPage& page) {
   EvacuationsRead read{
       .records = {}, .through = page.next_offset, .whole = page.whole};
@@ -94,8 +94,8 @@
   for (const std::string& key : page.unreadable_keys) {
     add(key, true, page.next_offset);
   }
-  NoteUnreadable("evacuations", page.next_offset, unreadable,
-                 "not the name of a data centre");
+  LogUnreadable("evacuations", page.next_offset, unreadable,
+                "not the name of a data centre");
   Deliver(read);
 }
 
@@ -114,12 +114,12 @@
     }
     Deliver(ConfigRead{*std::move(config)});
   }
-  NoteUnreadable("config", page.next_offset, page.unreadable + unreadable,
-                 reason);
+  LogUnreadable("config", page.next_offset, page.unreadable + unreadable,
+                reason);
 }
 
 void DeploymentTables::OnMembersPage(const KeyedPage& page) {
-  Deliver(StoreSeen{StoreTable::kMembers, false});
+  Deliver(StoreReadResult{StoreTable::kMembers, false});
   MembersRead read{
       .members = {}, .removed = {}, .next_offset = page.next_offset};
   uint32_t unreadable = 0;
@@ -139,15 +139,15 @@
     member->version = record.offset + 1;
     read.members.push_back(*std::move(member));
   }
-  NoteUnreadable("members", page.next_offset, page.unreadable + unreadable,
-                 reason);
+  LogUnreadable("members", page.next_offset, page.unreadable + unreadable,
+                reason);
   Deliver(read);
 }
 
-void DeploymentTables::NoteUnreadable(std::string_view table,
-                                      uint64_t next_offset,
-                                      uint32_t unreadable,
-                                      const std::string& reason) {
+void DeploymentTables::LogUnreadable(std::string_view table,
+                                     uint64_t next_offset,
+                                     uint32_t unreadable,
+                                     const std::string& reason) {
   if (unreadable == 0) {
     return;
   }
@@ -160,19 +160,20 @@
                                     true});
 }
 
-// ---- Other entries
+// ---- Messages of other entries
 
-void DeploymentTables::EntryUp(const std::string& name, PeerPlace place) {
-  Deliver(EntryLinked{name, place});
+void DeploymentTables::OnEntryConnected(const std::string& name,
+                                        PeerProximity proximity) {
+  Deliver(EntryConnected{name, proximity});
 }
 
-void DeploymentTables::EntryDown(const std::string& name) {
-  Deliver(EntryUnlinked{name});
+void DeploymentTables::OnEntryDisconnected(const std::string& name) {
+  Deliver(EntryDisconnected{name});
 }
 
 void DeploymentTables::OnMessage(const std::string& entry,
                                  const TableMessage& body) {
-  Deliver(EntrySaid{entry, body});
+  Deliver(TableMessageReceived{entry, body});
 }
 
 // ---- Actions
@@ -180,12 +181,12 @@
 void DeploymentTables::Deliver(const TableEvent& event) {
   for (const TableAction& action :
        m_exchange.Handle(event, EventLoop::MonoNow())) {
-    std::visit([this](const auto& wanted) { Perform(wanted); }, action);
+    std::visit([this](const auto& requested) { Perform(requested); }, action);
   }
   m_wake.Arm(m_exchange.NextWake());
 }
 
-void DeploymentTables::Perform(const TellEntry& tell) {
+void DeploymentTables::Perform(const SendTableMessage& tell) {
   m_events.send(tell.name, tell.body);
 }
 
@@ -207,7 +208,7 @@
   const std::string version = absl::StrCat(evacuations().through);
   for (const std::string& data_centre : change.begun) {
     m_counters.Add(RunCounter::kEvacuationsBegun);
-    m_learnt_evacuations[data_centre] = {EventLoop::MonoNow(), change.from};
+    m_evacuation_sources[data_centre] = {EventLoop::MonoNow(), change.from};
     LogStateChange({"data centre evacuated",
                     {{"data_centre", data_centre},
                      {"version", version},
@@ -215,7 +216,7 @@
   }
   for (const std::string& data_centre : change.ended) {
     m_counters.Add(RunCounter::kEvacuationsEnded);
-    m_learnt_evacuations.erase(data_centre);
+    m_evacuation_sources.erase(data_centre);
     LogStateChange({"data centre taken back",
                     {{"data_centre", data_centre},
                      {"version", version},
@@ -226,7 +227,7 @@
 
 void DeploymentTables::Perform(const MembersChanged& change) {
   for (const MemberAddress& member : change.members) {
-    LogStateChange({"member known",
+    LogStateChange({"member recorded",
                     {{"name", member.name},
                      {"address", member.address},
                      {"version", absl::StrCat(member.version)},
--- a/src/deployment_tables.h
+++ b/src/deployment_tables.h
@@ -1,5 +1,5 @@
-// The shell around a TableExchange: follows both tables of the store, decodes
-// their records, and logs what this entry comes to believe.
+// Runs a TableExchange: follows both tables of the store, decodes their records
+// and logs each change of the entry's state.
 //
 //   DeploymentTables tables(loop, source, "entry-1", std::move(events));
 //   tables.Start();
@@ -24,17 +24,19 @@
 
 namespace egretswitch::internal {
 
-// Where the tables come from; must outlive the DeploymentTables.
+// The source of the tables; must outlive the DeploymentTables.
 struct TableSource {
   KeyedStore& store;
-  // The key of the configuration in its table, and its form.
+  // The key of the configuration in its table, and the decoder of its value.
   std::string config_key;
   std::function<absl::StatusOr<ServiceConfig>(std::string_view)> decode_config;
-  // Of keys in the same table; the name of an evacuated data centre follows.
+  // Prefix of keys in the same table; the rest of the key is the name of an
+  // evacuated data centre.
   std::string evacuation_prefix;
-  // A configuration is in force so long after the store has it, also when a
-  // connection to the store dies unseen.
-  absl::Duration config_within = kConfigWithin;
+  // The longest time from the store's acknowledgement of a configuration until
+  // it is in force, also when a connection to the store stops responding
+  // without a reset.
+  absl::Duration config_apply_limit = kDefaultConfigApplyLimit;
 };
 
 // All must be set.
@@ -54,54 +56,56 @@
 
   void Start();
 
-  void EntryUp(const std::string& name, PeerPlace place);
-  void EntryDown(const std::string& name);
+  void OnEntryConnected(const std::string& name, PeerProximity proximity);
+  void OnEntryDisconnected(const std::string& name);
   void OnMessage(const std::string& entry, const TableMessage& body);
 
   const ServiceConfig& config() const { return m_exchange.config(); }
   const Evacuations& evacuations() const { return m_exchange.evacuations(); }
-  // Whether callers can be served by what is known. Without word of evacuations
-  // nobody knows where work may go.
+  // Whether callers can be served. Until evacuations have been received, this
+  // entry can't tell which data centres may get work.
   bool Complete() const {
     return config().version > 0 && evacuations().Known();
   }
-  // How this process came to know of what is evacuated, by data centre.
-  struct Learnt {
+  // When and from where this process received an evacuation, by data centre.
+  struct EvacuationSource {
     MonoTime at = absl::ZeroDuration();
     std::string from;  // "store", or the entry's name
   };
-  const std::map<std::string, Learnt>& learnt_evacuations() const {
-    return m_learnt_evacuations;
+  const std::map<std::string, EvacuationSource>& evacuation_sources() const {
+    return m_evacuation_sources;
   }
   const MemberList& members() const { return m_exchange.members(); }
 
-  // All that operators had published by this moment has been read from the
-  // store; minus infinity: nothing was read yet.
+  // Everything that operators published up to this time has been read from the
+  // store; minus infinity if nothing was read yet.
   MonoTime config_confirmed_at() const {
     return m_config_follower.confirmed_at();
   }
-  // Reads at the store what is new; `done` is told, maybe within the call,
-  // whether config() is the operators' newest.
+  // Reads new records from the store. Calls `done`, possibly before returning,
+  // with whether config() is the newest one that operators published.
   void ConfirmConfig(std::function<void(bool confirmed)> done) {
     m_config_follower.Confirm(std::move(done));
   }
-  uint64_t NewestConfigNamed() const { return m_exchange.NewestConfigNamed(); }
+  uint64_t NewestPeerConfigVersion() const {
+    return m_exchange.NewestPeerConfigVersion();
+  }
 
   const RunCounters& counters() const { return m_counters; }
 
  private:
-  void OnFailure(StoreTable table);
+  void OnStoreFailure(StoreTable table);
   void OnOperatorsPage(const KeyedPage& page);
   void ReadConfig(const KeyedPage& page);
   void ReadEvacuations(const KeyedPage& page);
   void OnMembersPage(const KeyedPage& page);
-  void NoteUnreadable(std::string_view table,
-                      uint64_t next_offset,
-                      uint32_t unreadable,
-                      const std::string& reason);
+  void LogUnreadable(std::string_view table,
+                     uint64_t next_offset,
+                     uint32_t unreadable,
+                     const std::string& reason);
 
   void Deliver(const TableEvent& event);
-  void Perform(const TellEntry& tell);
+  void Perform(const SendTableMessage& tell);
   void Perform(const ConfigInForce& change);
   void Perform(const EvacuationsInForce& change);
   void Perform(const MembersChanged& change);
@@ -114,7 +118,7 @@
   WakeTimer m_wake;
   StoreFollower m_config_follower;
   StoreFollower m_members_follower;
-  std::map<std::string, Learnt> m_learnt_evacuations;
+  std::map<std::string, EvacuationSource> m_evacuation_sources;
   RunCounters m_counters;
 };
 
--- a/src/link_log.cc
+++ b/src/link_log.cc
@@ -5,11 +5,11 @@
 namespace egretswitch::internal {
 
 void LogLinkEnded(const std::string& peer, const absl::Status& reason) {
-  NoteStateChange note;
-  note.what = "link ended";
-  note.fields.push_back({"peer", peer.empty() ? "unknown" : peer});
-  note.fields.push_back({"reason", std::string(reason.message())});
-  LogStateChange(note);
+  NoteStateChange event;
+  event.what = "link ended";
+  event.fields.push_back({"peer", peer.empty() ? "unknown" : peer});
+  event.fields.push_back({"reason", std::string(reason.message())});
+  LogStateChange(event);
 }
 
 }  // namespace egretswitch::internal
--- a/src/link_log.h
+++ b/src/link_log.h
@@ -1,4 +1,4 @@
-// Log lines about links, the same for every kind of process.
+// Log lines about links, shared by entries and agents.
 #ifndef EGRETSWITCH_SRC_LINK_LOG_H_
 #define EGRETSWITCH_SRC_LINK_LOG_H_
 
@@ -8,8 +8,8 @@
 
 namespace egretswitch::internal {
 
-// Logs the end of a link to a named peer, or of a stranger that was turned
-// away.
+// Logs that a link ended; `peer` is empty if an unauthenticated peer was
+// refused.
 void LogLinkEnded(const std::string& peer, const absl::Status& reason);
 
 }  // namespace egretswitch::internal
--- a/src/member_announcer.cc
+++ b/src/member_announcer.cc
@@ -8,10 +8,10 @@
 namespace egretswitch::internal {
 namespace {
 
-// Between attempts. A store that refuses for want of room has some seconds of
-// appends before it.
-constexpr RetryPauseLimits kPause = {.first = absl::Milliseconds(100),
-                                     .longest = absl::Milliseconds(3200)};
+// Pauses between attempts. A store that refuses a put because its queue is full
+// has some seconds of appends to make first.
+constexpr RetryPauseLimits kRetryPause = {.first = absl::Milliseconds(100),
+                                          .longest = absl::Milliseconds(3200)};
 
 }  // namespace
 
@@ -22,7 +22,7 @@
     : m_timers(std::move(timers)),
       m_store(store),
       m_self(std::move(self)),
-      m_pause(kPause, seed) {}
+      m_pause(kRetryPause, seed) {}
 
 void MemberAnnouncer::Start() {
   Put();
@@ -30,16 +30,16 @@
 
 void MemberAnnouncer::Update(const WorkerAnnouncement& worker) {
   m_self.worker = worker;
-  if (m_putting) {
-    m_changed = true;
+  if (m_put_pending) {
+    m_changed_since_put = true;
   } else {
     Put();
   }
 }
 
 void MemberAnnouncer::Put() {
-  m_putting = true;
-  m_changed = false;
+  m_put_pending = true;
+  m_changed_since_put = false;
   m_store.Put(StoreTable::kMembers, m_self.name, EncodeMember(m_self),
               [this](const absl::Status& status) { OnPut(status); });
 }
@@ -60,8 +60,8 @@
                    {"address", m_self.address},
                    {"worker", m_self.worker.incarnation}}});
   m_pause.Reset();
-  m_putting = false;
-  if (m_changed) {
+  m_put_pending = false;
+  if (m_changed_since_put) {
     Put();
   }
 }
--- a/src/member_announcer.h
+++ b/src/member_announcer.h
@@ -1,5 +1,5 @@
-// Writes this process's own record into the store's table of members, and tries
-// again until the store has taken it.
+// Writes the record of this process into the store's table of members, and
+// retries until the store has accepted it.
 #ifndef EGRETSWITCH_SRC_MEMBER_ANNOUNCER_H_
 #define EGRETSWITCH_SRC_MEMBER_ANNOUNCER_H_
 
@@ -17,13 +17,14 @@
 
 class MemberAnnouncer {
  public:
-  // `seed` differs between processes: it spreads their attempts.
+  // `seed` must differ between processes, so that they don't retry at the same
+  // time.
   MemberAnnouncer(Timers timers,
                   KeyedStore& store,
                   MemberAddress self,
                   uint64_t seed);
 
-  // Puts the record now, and whenever Update() changes it.
+  // Writes the record now and after each Update().
   void Start();
   void Update(const WorkerAnnouncement& worker);
 
@@ -35,8 +36,8 @@
   KeyedStore& m_store;
   MemberAddress m_self;
   RetryPause m_pause;
-  bool m_putting = false;  // a put, or the pause before the next, is under way
-  bool m_changed = false;  // since the put under way began
+  bool m_put_pending = false;  // or a retry is scheduled
+  bool m_changed_since_put = false;
   std::shared_ptr<bool> m_alive = std::make_shared<bool>(true);
 };
 
--- a/src/member_list.cc
+++ b/src/member_list.cc
@@ -1,9 +1,10 @@
-// Records carry the offset that they have in the store's table, so that an old
-// one from a peer never replaces a newer one. A record that did not come from
-// the store yet has offset 0.
+// A record's version is its offset in the store's table plus 1, so that an old
+// record from a peer never replaces a newer one. A record that was not read
+// from the store has version 0.
 //
-// An agent that has just started announces itself before it has met its worker.
-// What its predecessor knew of the worker stays, for the hint to the new one.
+// An agent that has just started announces itself before its worker has. The
+// worker that the previous incarnation of the agent announced is retained: the
+// entry sends it to the new incarnation as a hint.
 #include "member_list.h"
 
 #include <algorithm>
@@ -15,11 +16,11 @@
   if (it != m_members.end() && member.version <= it->second.version) {
     return false;
   }
-  MemberAddress& known = m_members[member.name];
-  const WorkerAnnouncement former_worker = known.worker;
-  known = member;
-  if (known.worker.incarnation.empty()) {
-    known.worker = former_worker;
+  MemberAddress& stored = m_members[member.name];
+  const WorkerAnnouncement previous_worker = stored.worker;
+  stored = member;
+  if (stored.worker.incarnation.empty()) {
+    stored.worker = previous_worker;
   }
   return true;
 }
@@ -33,18 +34,18 @@
   return true;
 }
 
-std::vector<MemberAddress> MemberList::After(uint64_t version) const {
-  std::vector<MemberAddress> after;
+std::vector<MemberAddress> MemberList::NewerThan(uint64_t version) const {
+  std::vector<MemberAddress> newer;
   for (const auto& [name, member] : m_members) {
     if (member.version > version) {
-      after.push_back(member);
+      newer.push_back(member);
     }
   }
-  std::sort(after.begin(), after.end(),
+  std::sort(newer.begin(), newer.end(),
             [](const MemberAddress& left, const MemberAddress& right) {
               return left.version < right.version;
             });
-  return after;
+  return newer;
 }
 
 const MemberAddress* MemberList::Find(const std::string& name) const {
--- a/src/member_list.h
+++ b/src/member_list.h
@@ -1,5 +1,5 @@
-// The processes of the deployment that an entry knows: from the store's table
-// of members and, while the store is away, from other entries.
+// The recorded processes of the deployment: from the store's table of members
+// and, while the store is unreachable, from other entries.
 //
 //   members.Take({.name = "agent-3", .address = "10.1.0.14:7720", ...});
 //   members.Find("agent-3")->address  -> "10.1.0.14:7720"
@@ -17,12 +17,14 @@
 
 class MemberList {
  public:
-  // True when the record is new or newer than the one of that name.
+  // Stores the record if it is newer than the one with that name, or if there
+  // is none. Returns whether it was stored.
   bool Take(const MemberAddress& member);
+  // Removes the record with that name if it is older than `version`.
   bool Remove(const std::string& name, uint64_t version);
 
-  // Those with a higher version, by version.
-  std::vector<MemberAddress> After(uint64_t version) const;
+  // The members with a higher version, ordered by version.
+  std::vector<MemberAddress> NewerThan(uint64_t version) const;
   const MemberAddress* Find(const std::string& name) const;
   size_t size() const { return m_members.size(); }
   const std::map<std::string, MemberAddress>& all() const { return m_members; }
--- a/src/member_record.cc
+++ b/src/member_record.cc
@@ -7,17 +7,17 @@
 namespace egretswitch::internal {
 namespace {
 
-// Anyone may write to the table. A few bytes can claim a billion elements,
-// which the unpacker would allocate first.
-constexpr size_t kMostElements = 64;
-constexpr size_t kMostBytes = 4096;
-constexpr size_t kMostDepth = 8;
-const msgpack::unpack_limit kLimits(kMostElements,
-                                    kMostElements,
-                                    kMostBytes,
-                                    kMostBytes,
+// Other writers may put any bytes into the table. A few bytes can claim a
+// billion elements, which the unpacker would allocate before it reads them.
+constexpr size_t kMaxElements = 64;
+constexpr size_t kMaxBytes = 4096;
+constexpr size_t kMaxDepth = 8;
+const msgpack::unpack_limit kLimits(kMaxElements,
+                                    kMaxElements,
+                                    kMaxBytes,
+                                    kMaxBytes,
                                     0,
-                                    kMostDepth);
+                                    kMaxDepth);
 
 }  // namespace
 
--- a/src/member_record.h
+++ b/src/member_record.h
@@ -1,5 +1,5 @@
-// How a process of the deployment is found: its record in the store's table of
-// members, under its name.
+// Encodes and decodes the record of a process in the store's table of members.
+// The key of the record is the name of the process.
 //
 //   store.Put(StoreTable::kMembers, self.name, EncodeMember(self), ...);
 #ifndef EGRETSWITCH_SRC_MEMBER_RECORD_H_
--- a/src/random_seed.h
+++ b/src/random_seed.h
@@ -1,4 +1,4 @@
-// A seed that differs between processes and between their starts.
+// Returns a seed that differs between processes and between their restarts.
 #ifndef EGRETSWITCH_SRC_RANDOM_SEED_H_
 #define EGRETSWITCH_SRC_RANDOM_SEED_H_
 
--- a/src/service_config.h
+++ b/src/service_config.h
@@ -1,5 +1,6 @@
-// The operators' configuration: queues that take jobs, and the services whose
-// workers run them. One version at a time, which never goes back in a process.
+// The operators' configuration: queues that accept jobs, and the services whose
+// workers run them. A process uses one version at a time and never returns to
+// an older one.
 //
 //   const JobQueue* queue = config.FindQueue("desk.example", "/stock/5c0e");
 //   queue->service   // the workers that may run its tasks
@@ -16,9 +17,9 @@
 
 namespace egretswitch::internal {
 
-// How long a configuration may take to be in force everywhere, where a
-// deployment doesn't say.
-inline constexpr absl::Duration kConfigWithin = absl::Seconds(2);
+// The longest time until a configuration is in force at every entry, unless the
+// deployment's settings give another one.
+inline constexpr absl::Duration kDefaultConfigApplyLimit = absl::Seconds(2);
 
 struct JobQueue {
   std::string name;
@@ -28,8 +29,8 @@
   uint32_t timeout_ms = 0;    // from a request's arrival to its answer
   uint32_t max_attempts = 1;  // failed runs of a task before its job fails
   uint32_t priority = 0;      // 0 is the most urgent
-  double stretch = 1;         // the latency objective is this many times the
-  uint32_t objective_ms = 0;  // longest task, and this much more
+  double stretch = 1;         // the latency objective is `stretch` times the
+  uint32_t objective_ms = 0;  // longest task, plus `objective_ms`
   bool operator==(const JobQueue&) const = default;
   MSGPACK_DEFINE(name,
                  host,
@@ -43,12 +44,13 @@
 };
 
 struct ServiceConfig {
-  uint64_t version = 0;  // 0: none has been seen
+  uint64_t version = 0;  // 0 if none has been received
   std::vector<JobQueue> queues;
   bool operator==(const ServiceConfig&) const = default;
   MSGPACK_DEFINE(version, queues)
 
-  // The queue of `host` with the longest prefix of `path`; null: there is none.
+  // Returns the queue of `host` with the longest matching prefix of `path`, or
+  // null if there is none.
   const JobQueue* FindQueue(std::string_view host, std::string_view path) const;
 };
 
--- a/src/step_entry_calls.cc
+++ b/src/step_entry_calls.cc
@@ -1,5 +1,5 @@
-// What becomes of a call: it waits for the first configuration, is handed to
-// the dispatcher, or is answered at once.
+// Handles the calls of an entry: a call waits for the first configuration, is
+// passed to the dispatcher, or is answered at once.
 //
 //   POST /checks/5c0e...   -> JobArrived
 //   POST /nowhere/5c0e...  -> one more read of the store, then 404 or 503
@@ -14,8 +14,9 @@
 namespace egretswitch::internal {
 namespace {
 
-// That wait for the first configuration, or for a newer one.
-constexpr size_t kMaxEarlyCalls = 256;
+// Limits the calls that wait for the first configuration, and separately those
+// that wait for the store to confirm the current one.
+constexpr size_t kMaxCallsAwaitingConfig = 256;
 
 constexpr int kNotFound = 404;
 constexpr int kGone = 410;
@@ -40,8 +41,8 @@
   responder.Answer(m_platform.callers.Encode(answer));
 }
 
-void StepEntryDaemon::AnswerEarlyCalls() {
-  for (EarlyCall& call : std::exchange(m_early_calls, {})) {
+void StepEntryDaemon::HandleCallsAwaitingConfig() {
+  for (CallAwaitingConfig& call : std::exchange(m_calls_awaiting_config, {})) {
     if (m_tables.Complete()) {
       OnCall(std::move(call.request), call.responder);
     } else {
@@ -53,11 +54,11 @@
 
 void StepEntryDaemon::OnCall(HttpRequest request, const Responder& responder) {
   if (!m_tables.Complete()) {
-    if (EventLoop::MonoNow() - m_started_at >= m_times.config_patience) {
+    if (EventLoop::MonoNow() - m_started_at >= m_times.first_config_timeout) {
       Refuse(responder, RunCounter::kJobsRefusedNoConfig, request.path,
              "no configuration yet");
-    } else if (m_early_calls.size() < kMaxEarlyCalls) {
-      m_early_calls.push_back({std::move(request), responder});
+    } else if (m_calls_awaiting_config.size() < kMaxCallsAwaitingConfig) {
+      m_calls_awaiting_config.push_back({std::move(request), responder});
     } else {
       Refuse(responder, RunCounter::kJobsRefusedNoConfig, request.path,
              "no configuration yet, and too many calls wait for it");
@@ -73,19 +74,19 @@
   Serve(request, call, *queue, responder);
 }
 
-// "No such queue" is said for good, so it must not be the word of an old
-// configuration.
+// A caller treats "no such queue" as permanent, so the answer must not be based
+// on an outdated configuration: the store is read again first.
 void StepEntryDaemon::OnUnknownQueue(HttpRequest request,
                                      const Responder& responder) {
-  if (m_unknown_queues >= kMaxEarlyCalls) {
+  if (m_calls_awaiting_confirmation >= kMaxCallsAwaitingConfig) {
     Refuse(responder, RunCounter::kJobsRefusedUnconfirmed, request.path,
            "too many calls wait for the configuration to be confirmed");
     return;
   }
-  ++m_unknown_queues;
+  ++m_calls_awaiting_confirmation;
   m_tables.ConfirmConfig(
       [this, request = std::move(request), responder](bool confirmed) {
-        --m_unknown_queues;
+        --m_calls_awaiting_confirmation;
         const CallerRequest call = m_platform.callers.Classify(request);
         const JobQueue* queue =
             m_tables.config().FindQueue(call.host, request.path);
@@ -106,12 +107,13 @@
   m_counters.Add(RunCounter::kJobsNoQueue);
   const absl::Duration unconfirmed =
       EventLoop::MonoNow() - m_tables.config_confirmed_at();
-  LogStateChange({"no such queue",
-                  {{"host", call.host},
-                   {"path", request.path},
-                   {"config", absl::StrCat(m_tables.config().version)},
-                   {"newest_named", absl::StrCat(m_tables.NewestConfigNamed())},
-                   {"unconfirmed_ms", MillisecondsText(unconfirmed)}}});
+  LogStateChange(
+      {"no such queue",
+       {{"host", call.host},
+        {"path", request.path},
+        {"config", absl::StrCat(m_tables.config().version)},
+        {"newest_named", absl::StrCat(m_tables.NewestPeerConfigVersion())},
+        {"unconfirmed_ms", MillisecondsText(unconfirmed)}}});
   responder.Answer(JsonError(kNotFound, "no such queue"));
 }
 
@@ -153,7 +155,7 @@
            "not supported: " + job->unsupported);
     return;
   }
-  if (m_refusing) {
+  if (m_refusing_jobs) {
     Refuse(responder, RunCounter::kJobsRefusedDraining, id, "shutting down");
     return;
   }
@@ -172,9 +174,9 @@
   }
   const CallId number = ++m_last_call;
   responder.OnGone([this, number] {
-    // From another thread.
-    m_loop.Post([this, number, heard_at = EventLoop::MonoNow()] {
-      OnCallerGone(number, heard_at);
+    // May run on another thread.
+    m_loop.Post([this, number, noticed_at = EventLoop::MonoNow()] {
+      OnCallerDisconnected(number, noticed_at);
     });
   });
   m_calls.emplace(number, OpenCall{responder, id, now});
@@ -185,16 +187,16 @@
                      .waited = waited});
 }
 
-void StepEntryDaemon::OnCallerGone(CallId number, MonoTime heard_at) {
+void StepEntryDaemon::OnCallerDisconnected(CallId number, MonoTime noticed_at) {
   const auto call = m_calls.find(number);
   if (call == m_calls.end()) {
-    return;  // its answer was on its way
+    return;  // the job has been answered already
   }
   LogStateChange(
       {"caller left",
        {{"job", call->second.job},
-        {"after_ms", MillisecondsText(heard_at - call->second.since)},
-        {"handled_ms", MillisecondsText(EventLoop::MonoNow() - heard_at)}}});
+        {"after_ms", MillisecondsText(noticed_at - call->second.since)},
+        {"handled_ms", MillisecondsText(EventLoop::MonoNow() - noticed_at)}}});
   m_calls.erase(call);
   Deliver(CallerLeft{number});
 }
--- a/src/step_entry_daemon.cc
+++ b/src/step_entry_daemon.cc
@@ -14,7 +14,8 @@
 namespace egretswitch::internal {
 namespace {
 
-// How soon links are opened for work that has come.
+// How often the selection of links is updated, so that links are opened soon
+// for jobs that have arrived.
 constexpr absl::Duration kSelectLinksPeriod = absl::Milliseconds(50);
 
 LinkHubOptions MakeEntryHubOptions(const StepCommonSettings& common,
@@ -24,13 +25,13 @@
   return options;
 }
 
-// Between two looks whether a drain is complete. An answer that is handed to
-// the library leaves in the same turn of the loop.
-constexpr absl::Duration kQuietCheckPeriod = absl::Milliseconds(20);
+// Interval between checks whether a drain is complete. The HTTP library sends
+// an answer in the same iteration of the loop in which it receives it.
+constexpr absl::Duration kIdleCheckPeriod = absl::Milliseconds(20);
 
 constexpr uint32_t kMaxCallerConnections = 3000;
 constexpr size_t kMaxBodyBytes = 256u << 10;
-constexpr size_t kMaxAllBodyBytes = 32u << 20;
+constexpr size_t kMaxTotalBodyBytes = 32u << 20;
 
 constexpr int kUnavailable = 503;
 
@@ -69,7 +70,7 @@
   options.loop = &m_loop;
   options.max_connections = kMaxCallerConnections;
   options.max_body_bytes = kMaxBodyBytes;
-  options.max_total_body_bytes = kMaxAllBodyBytes;
+  options.max_total_body_bytes = kMaxTotalBodyBytes;
   options.idle_timeout = absl::Seconds(60);
   options.wanted_headers = m_platform.callers.WantedHeaders();
   return HttpServer::Create(std::move(options), std::move(handler), JsonError);
@@ -102,10 +103,11 @@
   m_ready = *std::move(ready);
   m_metrics = *std::move(metrics);
   m_started_at = EventLoop::MonoNow();
-  m_loop.RunAfter(m_times.config_patience, [this] { AnswerEarlyCalls(); });
+  m_loop.RunAfter(m_times.first_config_timeout,
+                  [this] { HandleCallsAwaitingConfig(); });
   m_announcer.Start();
   m_tables.Start();
-  SelectLinksAgainAndAgain();
+  SelectLinksPeriodically();
   return absl::OkStatus();
 }
 
@@ -134,16 +136,16 @@
       m_link_selection.Choose(m_dispatcher.pool(), EventLoop::MonoNow()));
 }
 
-void StepEntryDaemon::SelectLinksAgainAndAgain() {
+void StepEntryDaemon::SelectLinksPeriodically() {
   SelectLinks();
-  m_loop.RunAfter(kSelectLinksPeriod, [this] { SelectLinksAgainAndAgain(); });
+  m_loop.RunAfter(kSelectLinksPeriod, [this] { SelectLinksPeriodically(); });
 }
 
 void StepEntryDaemon::OnTablesChanged() {
   if (m_tables.Complete()) {
-    AnswerEarlyCalls();
+    HandleCallsAwaitingConfig();
   }
-  NoteReadiness();
+  LogReadinessChange();
 }
 
 // ---- Links
@@ -153,10 +155,10 @@
   LinkHubEvents events;
   events.link_up = [this](const Hello& peer) { OnLinkUp(peer); };
   events.link_down = [this](const std::string& name, uint64_t incarnation) {
-    m_tables.EntryDown(name);
+    m_tables.OnEntryDisconnected(name);
     LogStateChange({"link down", {{"peer", name}}});
     Deliver(PeerDown{name, incarnation});
-    NoteReadiness();
+    LogReadinessChange();
   };
   events.refused = [](const std::string&, MonoTime) {};
   events.message = [this](const std::string& name, uint64_t incarnation,
@@ -180,9 +182,10 @@
     }
     return;
   }
-  const bool is_near = peer.data_centre == m_common.data_centre;
-  m_tables.EntryUp(
-      peer.name, is_near ? PeerPlace::kSameDataCentre : PeerPlace::kElsewhere);
+  const bool is_same_data_centre = peer.data_centre == m_common.data_centre;
+  m_tables.OnEntryConnected(peer.name, is_same_data_centre
+                                           ? PeerProximity::kSameDataCentre
+                                           : PeerProximity::kOtherDataCentre);
 }
 
 void StepEntryDaemon::OnMessage(const std::string& name,
@@ -196,7 +199,7 @@
     m_tables.OnMessage(name, *tables);
   } else {
     Deliver(PeerSaid{name, incarnation, std::move(carried->body)});
-    NoteReadiness();
+    LogReadinessChange();
   }
 }
 
@@ -211,14 +214,14 @@
 
 void StepEntryDaemon::PerformAll(const JobDispatcherActions& actions) {
   for (const JobDispatcherAction& action : actions) {
-    std::visit([this](const auto& wanted) { Perform(wanted); }, action);
+    std::visit([this](const auto& requested) { Perform(requested); }, action);
   }
 }
 
 void StepEntryDaemon::Perform(const AnswerJob& answer) {
   const auto it = m_calls.find(answer.call);
   if (it == m_calls.end()) {
-    return;  // the caller went away
+    return;  // the caller has disconnected
   }
   const absl::Duration taken = EventLoop::MonoNow() - it->second.since;
   m_latency.Add(absl::ToDoubleMilliseconds(taken));
@@ -245,10 +248,10 @@
   return !m_draining && m_tables.Complete() && m_dispatcher.pool().AnyWorker();
 }
 
-void StepEntryDaemon::NoteReadiness() {
+void StepEntryDaemon::LogReadinessChange() {
   const bool ready = Ready();
-  if (ready != m_ready_told) {
-    m_ready_told = ready;
+  if (ready != m_ready_logged) {
+    m_ready_logged = ready;
     LogStateChange({ready ? "ready" : "not ready",
                     {{"config", absl::StrCat(m_tables.config().version)},
                      {"members", absl::StrCat(m_tables.members().size())},
@@ -262,38 +265,39 @@
   }
   m_draining = true;
   m_drain_began = EventLoop::MonoNow();
-  NoteReadiness();
+  LogReadinessChange();
   m_callers->CloseAfterAnswers();
-  m_loop.RunAfter(m_times.serve, [this] {
-    m_refusing = true;
+  m_loop.RunAfter(m_times.accept_until, [this] {
+    m_refusing_jobs = true;
     m_callers->StopListening();
-    StopWhenQuiet();
+    StopWhenIdle();
   });
-  m_loop.RunAfter(m_times.finish, [this] {
+  m_loop.RunAfter(m_times.answer_until, [this] {
     PerformAll(m_dispatcher.GiveUpAll(EventLoop::ReadClocks()));
   });
 }
 
-bool StepEntryDaemon::NothingToAnswer() const {
-  return m_dispatcher.open_jobs() == 0 && m_unknown_queues == 0 &&
-         m_early_calls.empty() && m_callers->Quiet();
+bool StepEntryDaemon::NoAnswerPending() const {
+  return m_dispatcher.open_jobs() == 0 && m_calls_awaiting_confirmation == 0 &&
+         m_calls_awaiting_config.empty() && m_callers->Quiet();
 }
 
-// A request that has reached this machine is owed an answer, so a drain is
-// complete only when nothing has been there to answer at two looks in a row.
-// The server goes at once then, since what comes later is cut off.
-void StepEntryDaemon::StopWhenQuiet() {
-  const bool quiet = NothingToAnswer();
-  const bool out_of_time = EventLoop::MonoNow() - m_drain_began >= m_times.end;
-  if ((quiet && m_was_quiet) || out_of_time) {
+// Every request that has reached this host must be answered, so a drain is
+// complete only after two consecutive checks without a pending answer. The HTTP
+// server is then closed at once; requests that arrive later are cut off.
+void StepEntryDaemon::StopWhenIdle() {
+  const bool idle = NoAnswerPending();
+  const bool out_of_time =
+      EventLoop::MonoNow() - m_drain_began >= m_times.cut_off_at;
+  if ((idle && m_was_idle) || out_of_time) {
     LogStateChange({"drain complete",
                     {{"cut_off", absl::StrCat(m_callers->open_requests())}}});
     m_callers.reset();
     m_loop.Stop();
     return;
   }
-  m_was_quiet = quiet;
-  m_loop.RunAfter(kQuietCheckPeriod, [this] { StopWhenQuiet(); });
+  m_was_idle = idle;
+  m_loop.RunAfter(kIdleCheckPeriod, [this] { StopWhenIdle(); });
 }
 
 }  // namespace egretswitch::internal
--- a/src/step_entry_daemon.h
+++ b/src/step_entry_daemon.h
@@ -1,5 +1,5 @@
-// The shell around a JobDispatcher: callers, links to agents and other entries,
-// the store. Everything happens on the event loop's thread.
+// Runs a JobDispatcher: connects it to callers, to the links to agents and
+// other entries, and to the store. All code runs on the event loop's thread.
 //
 //   POST /lohu930/5c0e... -> JobArrived -> dispatcher -> AnswerJob -> 200
 #ifndef EGRETSWITCH_SRC_STEP_ENTRY_DAEMON_H_
@@ -25,28 +25,29 @@
 
 namespace egretswitch::internal {
 
-// The platform, as an entry needs it; all must outlive the daemon.
+// The parts of the platform that an entry uses; all must outlive the daemon.
 struct EntryPlatform {
   const CallerCodec& callers;
   TableSource tables;
 };
 
 struct EntryTimes {
-  // Calls that come before the first configuration wait so long for it after
-  // the start. Reading it takes some 50 ms, and callers reach an entry that has
-  // just started when no other one of their data centre is ready.
-  absl::Duration config_patience = absl::Milliseconds(400);
-
-  // The parts of a graceful shutdown, counted from its begin.
-  // Callers are served as before, each connection closed after its answer: the
-  // balancer takes up to two seconds to notice that this process is not ready,
-  // and what is sent later than 3 s after SIGTERM must not be cut off.
-  absl::Duration serve = absl::Milliseconds(2800);
-  // What is in hand gets the rest of the 6 s that the platform grants, then it
-  // is answered as it stands.
-  absl::Duration finish = absl::Milliseconds(5500);
-  // A request of which only a part has come by now is cut off.
-  absl::Duration end = absl::Milliseconds(5800);
+  // How long after the start a call waits for the first configuration. Reading
+  // it takes some 50 ms, and callers reach an entry that has just started when
+  // no other entry of their data centre is ready.
+  absl::Duration first_config_timeout = absl::Milliseconds(400);
+
+  // The phases of a graceful shutdown, measured from its start.
+  // Until then new jobs are accepted, and each connection is closed after its
+  // answer. The load balancer takes up to two seconds to notice that this
+  // process is not ready. A request sent later than 3 s after SIGTERM must not
+  // be cut off, so the entry stops listening before that.
+  absl::Duration accept_until = absl::Milliseconds(2800);
+  // Open jobs continue until then, within the 6 s that the platform grants for
+  // a shutdown; the rest is answered with the current state.
+  absl::Duration answer_until = absl::Milliseconds(5500);
+  // Requests that are still incomplete at this time are cut off.
+  absl::Duration cut_off_at = absl::Milliseconds(5800);
 };
 
 class StepEntryDaemon {
@@ -58,10 +59,10 @@
                   EntryTimes times = {});
   ~StepEntryDaemon();
 
-  // Opens every port of the settings. The error names the address.
+  // Opens every port of the settings. An error names the address.
   absl::Status Start();
 
-  // Begins a graceful shutdown; the loop stops when it is complete.
+  // Starts a graceful shutdown; the loop stops when it is complete.
   void BeginDrain();
 
  private:
@@ -76,14 +77,14 @@
       HttpServer::Handler handler);
   LinkHubEvents MakeHubEvents();
 
-  // A call that came before the first configuration, and waits for it.
-  struct EarlyCall {
+  // A call that arrived before the first configuration and waits for it.
+  struct CallAwaitingConfig {
     HttpRequest request;
     Responder responder;
   };
 
   void OnCall(HttpRequest request, const Responder& responder);
-  void AnswerEarlyCalls();
+  void HandleCallsAwaitingConfig();
   void OnUnknownQueue(HttpRequest request, const Responder& responder);
   void RefuseUnknownQueue(const HttpRequest& request,
                           const CallerRequest& call,
@@ -96,7 +97,7 @@
                 const CallerRequest& call,
                 const JobQueue& queue,
                 const Responder& responder);
-  void OnCallerGone(CallId number, MonoTime heard_at);
+  void OnCallerDisconnected(CallId number, MonoTime noticed_at);
   void OnShow(const HttpRequest& request,
               const JobQueue& queue,
               const Responder& responder);
@@ -108,7 +109,7 @@
   DeploymentTablesEvents MakeTablesEvents();
   void OnTablesChanged();
   void SelectLinks();
-  void SelectLinksAgainAndAgain();
+  void SelectLinksPeriodically();
   void OnLinkUp(const Hello& peer);
   void OnMessage(const std::string& name,
                  uint64_t incarnation,
@@ -122,11 +123,11 @@
   void Perform(const NoteStateChange& change);
 
   bool Ready() const;
-  void NoteReadiness();
+  void LogReadinessChange();
   std::string Metrics() const;
   void AddEvacuations(MetricsText& text) const;
-  bool NothingToAnswer() const;
-  void StopWhenQuiet();
+  bool NoAnswerPending() const;
+  void StopWhenIdle();
 
   EventLoop& m_loop;
   const StepCommonSettings m_common;
@@ -141,18 +142,18 @@
   WakeTimer m_wake;
   MemberAnnouncer m_announcer;
   DeploymentTables m_tables;
-  RunCounters m_counters;  // of the shell's own decisions
+  RunCounters m_counters;  // of decisions made in this class
   LatencyHistogram m_latency;
   absl::flat_hash_map<CallId, OpenCall> m_calls;
-  std::vector<EarlyCall> m_early_calls;
-  size_t m_unknown_queues = 0;  // calls that wait for a newer configuration
+  std::vector<CallAwaitingConfig> m_calls_awaiting_config;
+  size_t m_calls_awaiting_confirmation = 0;  // for a fresh read of the store
   CallId m_last_call = 0;
   MonoTime m_started_at = absl::ZeroDuration();
   bool m_draining = false;
-  bool m_refusing = false;  // the last part of a drain: no new jobs
+  bool m_refusing_jobs = false;  // last phase of a drain: no new jobs
   MonoTime m_drain_began = absl::ZeroDuration();
-  bool m_was_quiet = false;  // at the latest look of a drain
-  bool m_ready_told = false;
+  bool m_was_idle = false;  // at the previous idle check of a drain
+  bool m_ready_logged = false;
   std::unique_ptr<HttpServer> m_callers;
   std::unique_ptr<HttpServer> m_ready;
   std::unique_ptr<HttpServer> m_metrics;
--- a/src/step_entry_metrics.cc
+++ b/src/step_entry_metrics.cc
@@ -1,4 +1,4 @@
-// What an entry shows on its metrics address.
+// Renders the metrics of an entry.
 //
 //   egretswitch_jobs_open 12
 //   egretswitch_evacuated_seconds{data_centre="south",from="store"} 3.5
@@ -11,9 +11,9 @@
 
 void StepEntryDaemon::AddEvacuations(MetricsText& text) const {
   std::vector<MetricsText::LabelledSample> ages;
-  for (const auto& [data_centre, learnt] : m_tables.learnt_evacuations()) {
-    const absl::Duration age = EventLoop::MonoNow() - learnt.at;
-    ages.push_back({{{"data_centre", data_centre}, {"from", learnt.from}},
+  for (const auto& [data_centre, source] : m_tables.evacuation_sources()) {
+    const absl::Duration age = EventLoop::MonoNow() - source.at;
+    ages.push_back({{{"data_centre", data_centre}, {"from", source.from}},
                     absl::ToDoubleSeconds(age)});
   }
   text.AddGauge("evacuations_version",
--- a/src/step_settings.cc
+++ b/src/step_settings.cc
@@ -33,9 +33,10 @@
 absl::Duration ReadConfigWithin(MappingReader& root) {
   constexpr NumberRange kMilliseconds = {1, 3'600'000};
   MappingReader reader = root.Section("configuration", false);
-  const absl::Duration within = absl::Milliseconds(reader.Number(
-      "in_force_within_ms", kMilliseconds,
-      static_cast<uint32_t>(absl::ToInt64Milliseconds(kConfigWithin))));
+  const absl::Duration within = absl::Milliseconds(
+      reader.Number("in_force_within_ms", kMilliseconds,
+                    static_cast<uint32_t>(
+                        absl::ToInt64Milliseconds(kDefaultConfigApplyLimit))));
   reader.RefuseOtherKeys();
   return within;
 }
--- a/src/step_settings.h
+++ b/src/step_settings.h
@@ -31,7 +31,7 @@
 struct StepEntrySettings {
   IpPort callers_listen;
   // A configuration is in force so long after its publication.
-  absl::Duration config_within = kConfigWithin;
+  absl::Duration config_within = kDefaultConfigApplyLimit;
   IpPort ready_listen;  // where the balancer asks whether to send callers here
 };
 
--- a/src/table_exchange.cc
+++ b/src/table_exchange.cc
@@ -1,6 +1,6 @@
-// A new configuration is told at once, since it must be in force everywhere
-// within seconds. Members come in hundreds when a deployment starts, so they
-// are told some times a second.
+// The version of a new configuration is sent to other entries at once, since it
+// must be in force everywhere within seconds. Hundreds of members are recorded
+// when a deployment starts, so their version is sent a few times a second.
 #include "table_exchange.h"
 
 #include <algorithm>
@@ -11,17 +11,17 @@
 namespace egretswitch::internal {
 namespace {
 
-// Some 6 kB: 2 ms on a link of 25 Mbit/s, which an order to start sent
-// meanwhile has to wait.
-constexpr size_t kQueuesInPart = 64;
-constexpr size_t kMembersInPart = 48;
+// A part has some 6 kB. It takes 2 ms on a link of 25 Mbit/s and delays a
+// request to start a run that is sent meanwhile by as much.
+constexpr size_t kQueuesPerPart = 64;
+constexpr size_t kMembersPerPart = 48;
 
-// Between two messages that only tell of members.
-constexpr absl::Duration kTellPeriod = absl::Milliseconds(100);
+// Interval between announcements of only a new version of the members.
+constexpr absl::Duration kAnnouncePeriod = absl::Milliseconds(100);
 
-// A neighbour that claims more is not believed: the store takes no
-// configuration of 16 MB.
-constexpr uint64_t kMostQueues = 100'000;
+// A part that claims a larger configuration is rejected: it would have 16 MB,
+// and the store accepts none of that size.
+constexpr uint64_t kMaxQueues = 100'000;
 
 ConfigPart PartOf(const ServiceConfig& config, uint64_t first) {
   ConfigPart part{.version = config.version,
@@ -29,7 +29,7 @@
                   .first = std::min<uint64_t>(first, config.queues.size()),
                   .queues = {}};
   const auto begin = config.queues.begin() + static_cast<ptrdiff_t>(part.first);
-  const size_t count = std::min<size_t>(kQueuesInPart, part.size - part.first);
+  const size_t count = std::min<size_t>(kQueuesPerPart, part.size - part.first);
   part.queues.assign(begin, begin + static_cast<ptrdiff_t>(count));
   return part;
 }
@@ -45,158 +45,166 @@
 TableActions TableExchange::Handle(const TableEvent& event, MonoTime now) {
   m_now = now;
   std::visit([this](const auto& happened) { On(happened); }, event);
-  AskIfDue();
-  TellHeldIfDue();
+  RequestIfDue();
+  AnnounceVersionsIfDue();
   return std::exchange(m_actions, {});
 }
 
 MonoTime TableExchange::NextWake() const {
-  const MonoTime ask =
+  const MonoTime next_request =
       std::min(m_config_fetch.NextDue(), m_members_fetch.NextDue());
-  return Held() == m_told ? ask : std::min(ask, m_next_telling);
+  return OwnVersions() == m_announced_versions
+             ? next_request
+             : std::min(next_request, m_next_announcement);
 }
 
 // ---- Events
 
-void TableExchange::On(const EntryLinked& event) {
+void TableExchange::On(const EntryConnected& event) {
   std::erase(m_entries, event.name);
   m_entries.push_back(event.name);
-  m_config_fetch.PeerUp(event.name, event.place);
-  m_members_fetch.PeerUp(event.name, event.place);
+  m_config_fetch.AddPeer(event.name, event.proximity);
+  m_members_fetch.AddPeer(event.name, event.proximity);
   if (m_evacuations.Known()) {
-    Tell(event.name, m_evacuations);
+    Send(event.name, m_evacuations);
   }
-  Tell(event.name, Held());
+  Send(event.name, OwnVersions());
 }
 
-void TableExchange::On(const EntryUnlinked& event) {
+void TableExchange::On(const EntryDisconnected& event) {
   std::erase(m_entries, event.name);
-  m_config_fetch.PeerDown(event.name);
-  m_members_fetch.PeerDown(event.name);
+  m_config_fetch.RemovePeer(event.name);
+  m_members_fetch.RemovePeer(event.name);
 }
 
-void TableExchange::On(const EntrySaid& event) {
-  std::visit([this, &event](const auto& body) { Answer(event.name, body); },
+void TableExchange::On(const TableMessageReceived& event) {
+  std::visit([this, &event](const auto& body) { OnMessage(event.name, body); },
              event.body);
 }
 
 void TableExchange::On(const ConfigRead& event) {
-  TakeConfig(event.config, "store");
+  ApplyConfig(event.config, "store");
 }
 
 void TableExchange::On(const EvacuationsRead& event) {
-  TakeEvacuations(AfterRead(m_evacuations, event), "store");
+  ApplyEvacuations(AfterRead(m_evacuations, event), "store");
 }
 
 void TableExchange::On(const MembersRead& event) {
   for (const RemovedMember& removed : event.removed) {
     m_members.Remove(removed.name, removed.version);
   }
-  TakeMembers(event.members, event.next_offset, "store");
+  ApplyMembers(event.members, event.next_offset, "store");
 }
 
-void TableExchange::On(const StoreSeen& event) {
-  NeighbourFetch& fetch =
+void TableExchange::On(const StoreReadResult& event) {
+  PeerFetch& fetch =
       event.table == StoreTable::kConfig ? m_config_fetch : m_members_fetch;
   fetch.SetStoreFailing(event.failing);
 }
 
 void TableExchange::On(const TableTimePassed&) {}
 
-// ---- Other entries
+// ---- Messages of other entries
 
-void TableExchange::Answer(const std::string& entry, const TablesHeld& held) {
-  m_config_fetch.PeerHolds(entry, held.config, m_now);
-  m_members_fetch.PeerHolds(entry, held.members, m_now);
+void TableExchange::OnMessage(const std::string& entry,
+                              const TableVersions& held) {
+  m_config_fetch.RecordPeerVersion(entry, held.config, m_now);
+  m_members_fetch.RecordPeerVersion(entry, held.members, m_now);
 }
 
-// While versions follow each other faster than a narrow link takes one, a
-// reader still gets the one that it has begun.
-void TableExchange::Answer(const std::string& entry,
-                           const ConfigWanted& wanted) {
-  if (wanted.version == m_former_config->version && wanted.first > 0) {
-    Tell(entry, PartOf(*m_former_config, wanted.first));
+// The former version is still served to a peer that is fetching it. Otherwise a
+// peer on a slow link would never complete a fetch while new versions are
+// published faster than the link carries one.
+void TableExchange::OnMessage(const std::string& entry,
+                              const ConfigRequest& request) {
+  if (request.version == m_former_config->version && request.first > 0) {
+    Send(entry, PartOf(*m_former_config, request.first));
     return;
   }
-  const bool same = wanted.version == m_config->version;
-  Tell(entry, PartOf(*m_config, same ? wanted.first : 0));
+  const bool same = request.version == m_config->version;
+  Send(entry, PartOf(*m_config, same ? request.first : 0));
 }
 
-void TableExchange::Answer(const std::string& entry, const ConfigPart& part) {
-  if (!m_config_fetch.Awaits(entry)) {
-    return;  // asked of another one meanwhile, or known from the store
+void TableExchange::OnMessage(const std::string& entry,
+                              const ConfigPart& part) {
+  if (!m_config_fetch.IsAwaiting(entry)) {
+    return;  // another peer was asked meanwhile, or the store had the version
   }
   if (part.version <= m_config->version || !Append(part)) {
     m_incoming = {};
-    NoteUseless(m_config_fetch, entry, "config");
+    RejectAnswer(m_config_fetch, entry, "config");
     return;
   }
-  m_config_fetch.NotePart(m_now);
+  m_config_fetch.OnPartReceived(m_now);
   if (m_incoming.queues.size() < part.size) {
-    AskForConfig(entry);
+    RequestConfig(entry);
     return;
   }
-  TakeConfig(std::exchange(m_incoming, {}), entry);
+  ApplyConfig(std::exchange(m_incoming, {}), entry);
 }
 
-void TableExchange::Answer(const std::string& entry,
-                           const MembersWanted& wanted) {
-  MembersPart part{.through = m_members_fetch.have(),
-                   .members = m_members.After(wanted.through)};
-  if (part.members.size() > kMembersInPart) {
-    part.members.resize(kMembersInPart);
+void TableExchange::OnMessage(const std::string& entry,
+                              const MembersRequest& request) {
+  MembersPart part{.through = m_members_fetch.own_version(),
+                   .members = m_members.NewerThan(request.through)};
+  if (part.members.size() > kMembersPerPart) {
+    part.members.resize(kMembersPerPart);
     part.through = part.members.back().version;
   }
-  Tell(entry, std::move(part));
+  Send(entry, std::move(part));
 }
 
-void TableExchange::Answer(const std::string& entry, const MembersPart& part) {
-  if (!m_members_fetch.Awaits(entry)) {
+void TableExchange::OnMessage(const std::string& entry,
+                              const MembersPart& part) {
+  if (!m_members_fetch.IsAwaiting(entry)) {
     return;
   }
-  if (part.through <= m_members_fetch.have()) {
-    NoteUseless(m_members_fetch, entry, "members");
+  if (part.through <= m_members_fetch.own_version()) {
+    RejectAnswer(m_members_fetch, entry, "members");
     return;
   }
-  m_members_fetch.NotePart(m_now);
-  TakeMembers(part.members, part.through, entry);
-  if (m_members_fetch.Awaits(entry)) {
-    Tell(entry, MembersWanted{m_members_fetch.have()});
+  m_members_fetch.OnPartReceived(m_now);
+  ApplyMembers(part.members, part.through, entry);
+  if (m_members_fetch.IsAwaiting(entry)) {
+    Send(entry, MembersRequest{m_members_fetch.own_version()});
   }
 }
 
-void TableExchange::Answer(const std::string& entry, const Evacuations& told) {
-  if (IsNewer(told, m_evacuations)) {
-    TakeEvacuations(told, entry);
-  } else if (told.data_centres != m_evacuations.data_centres) {
-    Tell(entry, m_evacuations);
+void TableExchange::OnMessage(const std::string& entry,
+                              const Evacuations& received) {
+  if (IsNewer(received, m_evacuations)) {
+    ApplyEvacuations(received, entry);
+  } else if (received.data_centres != m_evacuations.data_centres) {
+    Send(entry, m_evacuations);
   }
 }
 
-void TableExchange::NoteUseless(NeighbourFetch& fetch,
-                                const std::string& entry,
-                                std::string_view table) {
+void TableExchange::RejectAnswer(PeerFetch& fetch,
+                                 const std::string& entry,
+                                 std::string_view table) {
   m_actions.push_back(
-      NoteStateChange{"neighbour's answer of no use",
+      NoteStateChange{"table answer of a peer rejected",
                       {{"entry", entry},
                        {"table", std::string(table)},
-                       {"held", absl::StrCat(fetch.HeldBy(entry))},
-                       {"have", absl::StrCat(fetch.have())}},
+                       {"held", absl::StrCat(fetch.PeerVersion(entry))},
+                       {"have", absl::StrCat(fetch.own_version())}},
                       true});
-  fetch.NoteUseless();
+  fetch.RejectAnswer();
 }
 
-// False when the part goes on nothing that has come before.
+// Returns false if the part is malformed or does not continue those received
+// before.
 bool TableExchange::Append(const ConfigPart& part) {
   if (part.version != m_incoming.version && part.first == 0) {
     m_incoming = ServiceConfig{.version = part.version, .queues = {}};
   }
-  const bool goes_on = part.version == m_incoming.version &&
-                       part.first == m_incoming.queues.size();
-  const uint64_t then = part.first + part.queues.size();
-  const bool whole = then <= part.size && part.size <= kMostQueues &&
-                     (then == part.size || !part.queues.empty());
-  if (!goes_on || !whole) {
+  const bool continues = part.version == m_incoming.version &&
+                         part.first == m_incoming.queues.size();
+  const uint64_t part_end = part.first + part.queues.size();
+  const bool well_formed = part_end <= part.size && part.size <= kMaxQueues &&
+                           (part_end == part.size || !part.queues.empty());
+  if (!continues || !well_formed) {
     return false;
   }
   m_incoming.queues.insert(m_incoming.queues.end(), part.queues.begin(),
@@ -204,9 +212,9 @@
   return true;
 }
 
-// ---- What this entry knows
+// ---- State of this entry
 
-void TableExchange::TakeConfig(ServiceConfig config, const std::string& from) {
+void TableExchange::ApplyConfig(ServiceConfig config, const std::string& from) {
   if (config.version <= m_config->version) {
     return;
   }
@@ -215,15 +223,16 @@
       m_now - std::min(m_config_fetch.behind_since(), m_now);
   m_former_config = m_config;
   m_config = std::make_shared<ServiceConfig>(std::move(config));
-  m_config_fetch.Have(m_config->version);
-  m_next_telling = m_now;
+  m_config_fetch.RecordOwnVersion(m_config->version);
+  m_next_announcement = m_now;
   m_actions.push_back(ConfigInForce{former, from, behind});
 }
 
-// A change is told on to every entry, since the one that it came from may not
-// be linked to all of them. A state that only reaches further is not.
-void TableExchange::TakeEvacuations(const Evacuations& state,
-                                    const std::string& from) {
+// A change is forwarded to every linked entry, since the entry that sent it may
+// not be linked to all of them. A state in which only the version is newer is
+// not forwarded.
+void TableExchange::ApplyEvacuations(const Evacuations& state,
+                                     const std::string& from) {
   const Evacuations former = std::exchange(m_evacuations, state);
   if (former == state) {
     return;
@@ -232,63 +241,63 @@
                        former.Known() != state.Known();
   for (const std::string& entry : m_entries) {
     if (changed) {
-      Tell(entry, m_evacuations);
+      Send(entry, m_evacuations);
     }
   }
   m_actions.push_back(
       EvacuationsInForce{OnlyIn(state, former), OnlyIn(former, state), from});
 }
 
-void TableExchange::TakeMembers(const std::vector<MemberAddress>& members,
-                                uint64_t through,
-                                const std::string& from) {
+void TableExchange::ApplyMembers(const std::vector<MemberAddress>& members,
+                                 uint64_t through,
+                                 const std::string& from) {
   MembersChanged changed{.members = {}, .from = from};
   for (const MemberAddress& member : members) {
     if (m_members.Take(member)) {
       changed.members.push_back(member);
     }
   }
-  m_members_fetch.Have(through);
+  m_members_fetch.RecordOwnVersion(through);
   if (!changed.members.empty()) {
     m_actions.push_back(std::move(changed));
   }
 }
 
-// ---- What this entry says
+// ---- Messages of this entry
 
-void TableExchange::AskIfDue() {
+void TableExchange::RequestIfDue() {
   if (const auto entry = m_config_fetch.TakeDue(m_now)) {
-    AskForConfig(*entry);
+    RequestConfig(*entry);
   }
   if (const auto entry = m_members_fetch.TakeDue(m_now)) {
-    Tell(*entry, MembersWanted{m_members_fetch.have()});
+    Send(*entry, MembersRequest{m_members_fetch.own_version()});
   }
 }
 
-// Another neighbour than the one that was asked first goes on from where that
-// one stopped, when it has the same version.
-void TableExchange::AskForConfig(const std::string& entry) {
-  Tell(entry, ConfigWanted{m_incoming.version, m_incoming.queues.size()});
+// If the fetch moves to another peer with the same version, that peer continues
+// where the first one stopped.
+void TableExchange::RequestConfig(const std::string& entry) {
+  Send(entry, ConfigRequest{m_incoming.version, m_incoming.queues.size()});
 }
 
-TablesHeld TableExchange::Held() const {
-  return {m_config->version, m_members_fetch.have()};
+TableVersions TableExchange::OwnVersions() const {
+  return {m_config->version, m_members_fetch.own_version()};
 }
 
-void TableExchange::TellHeldIfDue() {
-  const TablesHeld held = Held();
-  if (held == m_told || m_now < m_next_telling) {
+void TableExchange::AnnounceVersionsIfDue() {
+  const TableVersions held = OwnVersions();
+  if (held == m_announced_versions || m_now < m_next_announcement) {
     return;
   }
-  m_told = held;
-  m_next_telling = m_now + kTellPeriod;
+  m_announced_versions = held;
+  m_next_announcement = m_now + kAnnouncePeriod;
   for (const std::string& entry : m_entries) {
-    Tell(entry, held);
+    Send(entry, held);
   }
 }
 
-void TableExchange::Tell(const std::string& entry, TableMessage body) {
-  m_actions.push_back(TellEntry{entry, std::move(body)});
+void TableExchange::Send(const std::string& entry, TableMessage body) {
+  m_actions.push_back(SendTableMessage{entry, std::move(body)});
 }
 
 }  // namespace egretswitch::internal
--- a/src/table_exchange.h
+++ b/src/table_exchange.h
@@ -1,12 +1,14 @@
-// What an entry knows of the deployment, its configuration, the evacuated data
-// centres and the members, and how entries help each other to it when the store
-// doesn't. No I/O; the shell follows the store, sends and receives.
+// An entry's copy of the deployment's state: the configuration, the evacuated
+// data centres and the members. Entries exchange it when the store is
+// unreachable or slow. Performs no I/O; DeploymentTables follows the store,
+// sends and receives.
 //
-//   ConfigRead{version 7}                -> ConfigInForce{7, "store"},
-//                                           TellEntry{entry-2, TablesHeld{7,
-//                                           0}}
-//   EntrySaid{entry-2, TablesHeld{9, 0}} -> 20 ms later, if the store fails:
-//                                           TellEntry{entry-2, ConfigWanted{9}}
+//   ConfigRead{version 7}
+//       -> ConfigInForce{7, "store"},
+//          SendTableMessage{entry-2, TableVersions{7, 0}}
+//   TableMessageReceived{entry-2, TableVersions{9, 0}}
+//       -> 20 ms later, if the store fails:
+//          SendTableMessage{entry-2, ConfigRequest{9}}
 #ifndef EGRETSWITCH_SRC_TABLE_EXCHANGE_H_
 #define EGRETSWITCH_SRC_TABLE_EXCHANGE_H_
 
@@ -20,8 +22,8 @@
 #include "evacuations.h"
 #include "keyed_store.h"
 #include "member_list.h"
-#include "neighbour_fetch.h"
 #include "node_events.h"
+#include "peer_fetch.h"
 #include "service_config.h"
 #include "table_messages.h"
 
@@ -29,21 +31,21 @@
 
 // ---- Events
 
-struct EntryLinked {
+struct EntryConnected {
   std::string name;
-  PeerPlace place = PeerPlace::kElsewhere;
+  PeerProximity proximity = PeerProximity::kOtherDataCentre;
 };
 
-struct EntryUnlinked {
+struct EntryDisconnected {
   std::string name;
 };
 
-struct EntrySaid {
+struct TableMessageReceived {
   std::string name;
   TableMessage body;
 };
 
-// Read from the store.
+// A configuration was read from the store.
 struct ConfigRead {
   ServiceConfig config;
 };
@@ -53,7 +55,7 @@
   uint64_t version = 0;
 };
 
-// Read from the store: records up to the one before `next_offset`.
+// Members were read from the store: all records before `next_offset`.
 struct MembersRead {
   std::vector<MemberAddress> members;
   std::vector<RemovedMember> removed;
@@ -61,25 +63,25 @@
 };
 
 // Whether the latest read of a table failed.
-struct StoreSeen {
+struct StoreReadResult {
   StoreTable table = StoreTable::kConfig;
   bool failing = false;
 };
 
 struct TableTimePassed {};
 
-using TableEvent = std::variant<EntryLinked,
-                                EntryUnlinked,
-                                EntrySaid,
+using TableEvent = std::variant<EntryConnected,
+                                EntryDisconnected,
+                                TableMessageReceived,
                                 ConfigRead,
                                 EvacuationsRead,
                                 MembersRead,
-                                StoreSeen,
+                                StoreReadResult,
                                 TableTimePassed>;
 
 // ---- Actions
 
-struct TellEntry {
+struct SendTableMessage {
   std::string name;
   TableMessage body;
 };
@@ -88,25 +90,25 @@
 struct ConfigInForce {
   uint64_t former = 0;
   std::string from;  // "store", or the entry's name
-  // Since a linked entry named a newer version than the former one; zero: none
-  // did.
+  // Time since a linked entry reported a newer version than the former one;
+  // zero if none did.
   absl::Duration behind;
 };
 
-// evacuations() has changed, or only reaches further.
+// evacuations() has changed; if both lists are empty, only its version did.
 struct EvacuationsInForce {
   std::vector<std::string> begun;
   std::vector<std::string> ended;
   std::string from;  // "store", or the entry's name
 };
 
-// members() has these, new or changed.
+// These records in members() are new or changed.
 struct MembersChanged {
   std::vector<MemberAddress> members;
   std::string from;
 };
 
-using TableAction = std::variant<TellEntry,
+using TableAction = std::variant<SendTableMessage,
                                  ConfigInForce,
                                  EvacuationsInForce,
                                  MembersChanged,
@@ -119,61 +121,65 @@
 
   TableActions Handle(const TableEvent& event, MonoTime now);
 
-  // When TableTimePassed is next due; infinite: not before news come.
+  // When TableTimePassed is next due; infinite if only another event can cause
+  // an action.
   MonoTime NextWake() const;
 
   const ServiceConfig& config() const { return *m_config; }
   const Evacuations& evacuations() const { return m_evacuations; }
-  // The newest version that a linked entry has named; 0: none did.
-  uint64_t NewestConfigNamed() const { return m_config_fetch.NewestNamed(); }
-  // This process is among them, once its own record has been read.
+  // The newest version that a linked entry has reported; 0 if none did.
+  uint64_t NewestPeerConfigVersion() const {
+    return m_config_fetch.NewestPeerVersion();
+  }
+  // Includes this process once its own record has been read.
   const MemberList& members() const { return m_members; }
 
  private:
-  void On(const EntryLinked& event);
-  void On(const EntryUnlinked& event);
-  void On(const EntrySaid& event);
+  void On(const EntryConnected& event);
+  void On(const EntryDisconnected& event);
+  void On(const TableMessageReceived& event);
   void On(const ConfigRead& event);
   void On(const EvacuationsRead& event);
   void On(const MembersRead& event);
-  void On(const StoreSeen& event);
+  void On(const StoreReadResult& event);
   void On(const TableTimePassed& event);
 
-  void Answer(const std::string& entry, const TablesHeld& held);
-  void Answer(const std::string& entry, const ConfigWanted& wanted);
-  void Answer(const std::string& entry, const ConfigPart& part);
-  void Answer(const std::string& entry, const MembersWanted& wanted);
-  void Answer(const std::string& entry, const MembersPart& part);
-  void Answer(const std::string& entry, const Evacuations& told);
+  void OnMessage(const std::string& entry, const TableVersions& held);
+  void OnMessage(const std::string& entry, const ConfigRequest& request);
+  void OnMessage(const std::string& entry, const ConfigPart& part);
+  void OnMessage(const std::string& entry, const MembersRequest& request);
+  void OnMessage(const std::string& entry, const MembersPart& part);
+  void OnMessage(const std::string& entry, const Evacuations& received);
 
   bool Append(const ConfigPart& part);
-  void TakeConfig(ServiceConfig config, const std::string& from);
-  void TakeEvacuations(const Evacuations& state, const std::string& from);
-  void TakeMembers(const std::vector<MemberAddress>& members,
-                   uint64_t through,
-                   const std::string& from);
-  void AskIfDue();
-  void AskForConfig(const std::string& entry);
-  TablesHeld Held() const;
-  void TellHeldIfDue();
-  void NoteUseless(NeighbourFetch& fetch,
-                   const std::string& entry,
-                   std::string_view table);
-  void Tell(const std::string& entry, TableMessage body);
+  void ApplyConfig(ServiceConfig config, const std::string& from);
+  void ApplyEvacuations(const Evacuations& state, const std::string& from);
+  void ApplyMembers(const std::vector<MemberAddress>& members,
+                    uint64_t through,
+                    const std::string& from);
+  void RequestIfDue();
+  void RequestConfig(const std::string& entry);
+  TableVersions OwnVersions() const;
+  void AnnounceVersionsIfDue();
+  void RejectAnswer(PeerFetch& fetch,
+                    const std::string& entry,
+                    std::string_view table);
+  void Send(const std::string& entry, TableMessage body);
 
   TableActions m_actions;
   MonoTime m_now = absl::ZeroDuration();
-  // Shared, since the former one is kept for those who are reading it.
+  // Shared, since the former version is retained for entries that are still
+  // fetching it.
   std::shared_ptr<const ServiceConfig> m_config;
   std::shared_ptr<const ServiceConfig> m_former_config;
-  ServiceConfig m_incoming;  // what has come of a neighbour's
+  ServiceConfig m_incoming;  // partial, being fetched from peers
   Evacuations m_evacuations;
   MemberList m_members;
-  NeighbourFetch m_config_fetch;
-  NeighbourFetch m_members_fetch;
+  PeerFetch m_config_fetch;
+  PeerFetch m_members_fetch;
   std::vector<std::string> m_entries;  // linked
-  TablesHeld m_told;                   // to all of them
-  MonoTime m_next_telling = absl::ZeroDuration();
+  TableVersions m_announced_versions;  // sent to all of them
+  MonoTime m_next_announcement = absl::ZeroDuration();
 };
 
 }  // namespace egretswitch::internal
--- a/src/wake_timer.h
+++ b/src/wake_timer.h
@@ -1,5 +1,5 @@
-// One timer that is set anew again and again, for a state machine that says
-// when it wants to be called next.
+// A single timer that is rearmed after each event, for a state machine that
+// reports when it is next due.
 //
 //   WakeTimer timer(loop, [this] { Deliver(TimePassed{}); });
 //   timer.Arm(node.NextWake());      // after each event
@@ -22,7 +22,7 @@
   WakeTimer(const WakeTimer&) = delete;
   WakeTimer& operator=(const WakeTimer&) = delete;
 
-  // Infinite: no wake is wanted.
+  // Infinite disarms the timer.
   void Arm(MonoTime due) {
     if (due == m_due) {
       return;
--- a/test/member_announcer_test.cc
+++ b/test/member_announcer_test.cc
@@ -1,7 +1,7 @@
-// Many processes that write their records into the store at once. A partition
-// of the store takes one append after the other, and refuses what would wait
-// for longer than 2 s; an append whose caller has given up is made all the
-// same.
+// Tests many processes that write their records into the store at the same
+// time. A partition of the store makes one append after the other and refuses
+// an append that would wait for longer than 2 s. It still makes an append after
+// the caller has timed out.
 #include "member_announcer.h"
 
 #include <algorithm>
@@ -34,14 +34,14 @@
            PutCallback done) override {
     ++calls;
     const absl::Duration now = m_timers.now();
-    if (now < away_until) {
+    if (now < unavailable_until) {
       m_timers.RunAfter(kNetwork, [done = std::move(done)] {
         done(absl::UnavailableError("refused"));
       });
       return;
     }
     m_free_at = std::max(m_free_at, now);
-    if (m_free_at - now > kLongestWait) {
+    if (m_free_at - now > kMaxWait) {
       m_timers.RunAfter(kNetwork, [done = std::move(done)] {
         done(absl::UnavailableError("too much waits"));
       });
@@ -60,12 +60,12 @@
 
   static constexpr absl::Duration kAppend = absl::Milliseconds(2);
   static constexpr absl::Duration kNetwork = absl::Milliseconds(4);
-  static constexpr absl::Duration kLongestWait = absl::Seconds(2);
+  static constexpr absl::Duration kMaxWait = absl::Seconds(2);
 
   uint64_t calls = 0;
   uint64_t appends = 0;
-  absl::Duration away_until;
-  std::map<std::string, absl::Duration> recorded;  // when the newest was
+  absl::Duration unavailable_until;
+  std::map<std::string, absl::Duration> recorded;  // time of the newest append
 
  private:
   VirtualTimers& m_timers;
@@ -80,7 +80,8 @@
     return agent;
   }
 
-  // Processes that start within 0.3 s and meet their workers within 1.5 s.
+  // Creates processes that start within 0.3 s and whose workers announce
+  // themselves within the next 1.5 s.
   void StartProcesses(uint32_t count) {
     for (uint32_t i = 0; i < count; ++i) {
       auto announcer = std::make_unique<MemberAnnouncer>(timers.timers(), store,
@@ -94,7 +95,7 @@
     }
   }
 
-  absl::Duration LastRecorded() const {
+  absl::Duration LastRecordedAt() const {
     absl::Duration last;
     for (const auto& [name, at] : store.recorded) {
       last = std::max(last, at);
@@ -109,23 +110,26 @@
 
 BOOST_FIXTURE_TEST_SUITE(member_announcer, MemberAnnouncerFixture)
 
-BOOST_AUTO_TEST_CASE(fleet_that_starts_at_once_is_recorded_without_repeats) {
+BOOST_AUTO_TEST_CASE(
+    processes_starting_together_are_recorded_without_repeated_appends) {
   for (const uint32_t count : {983u, 1966u}) {
     MemberAnnouncerFixture fixture;
     fixture.StartProcesses(count);
     fixture.timers.RunUntil(absl::Seconds(60));
     BOOST_TEST(fixture.store.recorded.size() == count);
-    // Two records for each process, as many as it has to say.
+    // Each process has two records to write, without and with its worker.
     BOOST_TEST(fixture.store.appends <= 2u * count);
     const absl::Duration needed = 2 * count * SerialStore::kAppend;
-    BOOST_TEST((fixture.LastRecorded() <= needed + absl::Seconds(3)));
+    BOOST_TEST((fixture.LastRecordedAt() <= needed + absl::Seconds(3)));
   }
 }
 
-// Of what each process has to say, two records, none is sent again but for the
-// refusals while more waits at the store than it takes: one for each doubling
-// of the pause, from 0.1 s on, within the time that the store needs for all.
-BOOST_AUTO_TEST_CASE(calls_of_a_process_grow_with_the_logarithm_of_the_fleet) {
+// Each process has two records to write. A record is sent again only after a
+// refusal while the store's queue is full: once for each doubling of the retry
+// pause, starting at 0.1 s, within the time that the store needs for all
+// records.
+BOOST_AUTO_TEST_CASE(
+    calls_per_process_grow_with_the_logarithm_of_the_process_count) {
   for (const uint32_t count : {492u, 983u, 1966u, 3932u}) {
     MemberAnnouncerFixture fixture;
     fixture.StartProcesses(count);
@@ -139,15 +143,15 @@
   }
 }
 
-BOOST_AUTO_TEST_CASE(store_that_is_back_has_every_record_within_seconds) {
-  store.away_until = absl::Seconds(20);
+BOOST_AUTO_TEST_CASE(recovered_store_has_every_record_within_seconds) {
+  store.unavailable_until = absl::Seconds(20);
   StartProcesses(400);
   timers.RunUntil(absl::Seconds(26));
   BOOST_TEST(store.recorded.size() == 400u);
 }
 
-BOOST_AUTO_TEST_CASE(processes_refused_at_once_come_back_apart) {
-  store.away_until = absl::Milliseconds(50);
+BOOST_AUTO_TEST_CASE(processes_refused_together_retry_at_different_times) {
+  store.unavailable_until = absl::Milliseconds(50);
   for (uint32_t i = 0; i < 50; ++i) {
     processes.push_back(
         std::make_unique<MemberAnnouncer>(timers.timers(), store, Agent(i), i));
--- a/test/member_list_test.cc
+++ b/test/member_list_test.cc
@@ -1,4 +1,4 @@
-// What an entry keeps of the members that it hears of.
+// Tests which record of a member an entry retains.
 #include "member_list.h"
 
 #include <boost/test/unit_test.hpp>
@@ -25,19 +25,21 @@
 
 BOOST_FIXTURE_TEST_SUITE(member_list, MemberListFixture)
 
-BOOST_AUTO_TEST_CASE(record_older_than_the_known_one_is_left_out) {
+BOOST_AUTO_TEST_CASE(older_member_record_is_ignored) {
   members.Take(Agent(5, "i-2"));
   BOOST_TEST(!members.Take(Agent(4, "i-1")));
   BOOST_TEST(Worker() == "i-2");
 }
 
-BOOST_AUTO_TEST_CASE(agent_announced_without_a_worker_keeps_the_former_one) {
+BOOST_AUTO_TEST_CASE(
+    agent_announced_without_a_worker_keeps_the_previous_worker) {
   members.Take(Agent(5, "i-2"));
   BOOST_TEST(members.Take(Agent(6, "")));
   BOOST_TEST(Worker() == "i-2");
 }
 
-BOOST_AUTO_TEST_CASE(agent_announced_with_another_worker_has_that_one) {
+BOOST_AUTO_TEST_CASE(
+    agent_announced_with_another_worker_replaces_the_previous_one) {
   members.Take(Agent(5, "i-2"));
   members.Take(Agent(6, "i-3"));
   BOOST_TEST(Worker() == "i-3");
--- a/test/silent_store_test.cc
+++ b/test/silent_store_test.cc
@@ -1,5 +1,6 @@
-// How soon an entry reads what operators publish when its connections to the
-// store fall silent for good, without a reset, while new ones work.
+// Tests how soon an entry reads a published configuration after its connections
+// to the store stop responding permanently, without a reset, while new
+// connections work.
 #include <boost/test/unit_test.hpp>
 #include <functional>
 #include <memory>
@@ -14,16 +15,16 @@
 
 constexpr absl::Duration kNetwork = absl::Milliseconds(4);
 
-// The shortest bounds of a deployment: a configuration is in force everywhere
-// so long after the store has acknowledged it ...
+// The shortest bounds of a deployment: a configuration must be in force
+// everywhere within this time after the store has acknowledged it ...
 constexpr absl::Duration kInForceWithin = absl::Seconds(2);
-// ... at processes that had no disruption for so long.
-constexpr absl::Duration kUndisturbed = absl::Seconds(3);
+// ... at processes that had no disruption for this long.
+constexpr absl::Duration kUndisturbedPeriod = absl::Seconds(3);
 
-// One read after the other, each on a connection that works or has died.
-class SilentStore : public KeyedStore {
+// A store that is read over connections that work or have stopped responding.
+class UnresponsiveStore : public KeyedStore {
  public:
-  explicit SilentStore(VirtualTimers& timers) : m_timers(timers) {}
+  explicit UnresponsiveStore(VirtualTimers& timers) : m_timers(timers) {}
 
   void Publish() {
     ++m_end;
@@ -31,14 +32,14 @@
       read.answer();
     }
   }
-  // What is under way is never answered.
-  void FallSilent() {
-    ++m_deaths;
+  // Pending reads are never answered.
+  void StopResponding() {
+    ++m_failures;
     m_waiting.clear();
   }
 
-  // Whatever offset is followed from, the history no longer goes back so far.
-  void CutHistoryForGood() { m_cut = true; }
+  // From now on, the history never goes back to the offset that is followed.
+  void TruncateHistory() { m_history_truncated = true; }
 
   void ReadAll(StoreTable, PageCallback done) override {
     Read(0, absl::ZeroDuration(), std::move(done));
@@ -48,7 +49,7 @@
               uint64_t offset,
               absl::Duration wait,
               PageCallback done) override {
-    if (m_cut) {
+    if (m_history_truncated) {
       ++reads;
       m_timers.RunAfter(kNetwork, [done = std::move(done)] {
         done(absl::OutOfRangeError("store: the history was cut off"));
@@ -78,9 +79,9 @@
         done(page);
       }
     };
-    const auto answer = [this, offset, end, life = m_deaths] {
-      m_timers.RunAfter(kNetwork, [this, offset, end, life] {
-        if (life == m_deaths) {
+    const auto answer = [this, offset, end, failures_then = m_failures] {
+      m_timers.RunAfter(kNetwork, [this, offset, end, failures_then] {
+        if (failures_then == m_failures) {
           end(PageFrom(offset));
         }
       });
@@ -111,16 +112,16 @@
 
   VirtualTimers& m_timers;
   uint64_t m_end = 1;
-  int m_deaths = 0;
-  bool m_cut = false;
+  int m_failures = 0;
+  bool m_history_truncated = false;
   std::vector<Waiting> m_waiting;
 };
 
-struct SilentStoreFixture {
-  SilentStoreFixture() { follower.Start(); }
+struct UnresponsiveStoreFixture {
+  UnresponsiveStoreFixture() { follower.Start(); }
 
   VirtualTimers virtual_timers;
-  SilentStore store{virtual_timers};
+  UnresponsiveStore store{virtual_timers};
   uint64_t read_through = 0;
   StoreFollower follower{
       virtual_timers.timers(),
@@ -131,45 +132,48 @@
       [] {}};
 };
 
-// When what is published `after` the silence has been read, counted from it.
-absl::Duration ReadAfterSilence(absl::Duration silence, absl::Duration after) {
-  SilentStoreFixture fixture;
+// Returns how long after the failure the entry has read a configuration that
+// was published `after` the failure.
+absl::Duration ReadAfterFailure(absl::Duration failure_at,
+                                absl::Duration after) {
+  UnresponsiveStoreFixture fixture;
   VirtualTimers& timers = fixture.virtual_timers;
-  timers.RunUntil(silence);
-  fixture.store.FallSilent();
-  timers.RunUntil(silence + after);
+  timers.RunUntil(failure_at);
+  fixture.store.StopResponding();
+  timers.RunUntil(failure_at + after);
   fixture.store.Publish();
   while (fixture.read_through < 2 && timers.now() < absl::Minutes(1)) {
     timers.RunUntil(timers.now() + absl::Milliseconds(1));
   }
-  return timers.now() - silence;
+  return timers.now() - failure_at;
 }
 
 BOOST_AUTO_TEST_SUITE(silent_store)
 
-// Guards against an entry that refuses or runs by an older configuration while
-// it waits for an answer on a connection that has died.
-BOOST_AUTO_TEST_CASE(configuration_behind_a_silent_connection_is_read_in_time) {
-  absl::Duration latest;  // beyond its bound
-  for (int silence_ms = 20; silence_ms <= 12'000; silence_ms += 230) {
+// Guards against an entry that refuses or runs jobs by an older configuration
+// while it waits for an answer on a connection that has stopped responding.
+BOOST_AUTO_TEST_CASE(
+    configuration_is_read_in_time_when_a_connection_stops_responding) {
+  absl::Duration latest;  // how far past its bound a configuration was read
+  for (int failure_ms = 20; failure_ms <= 12'000; failure_ms += 230) {
     for (const int after_ms : {1, 500, 1000, 2000, 3000, 6000}) {
       const absl::Duration after = absl::Milliseconds(after_ms);
       const absl::Duration bound =
-          std::max(kUndisturbed, after + kInForceWithin);
+          std::max(kUndisturbedPeriod, after + kInForceWithin);
       const absl::Duration read =
-          ReadAfterSilence(absl::Milliseconds(silence_ms), after);
+          ReadAfterFailure(absl::Milliseconds(failure_ms), after);
       latest = std::max(latest, read - bound);
     }
   }
   BOOST_TEST(absl::ToInt64Milliseconds(latest) == 0);
 }
 
-// Guards against a store that is asked as fast as it answers.
-BOOST_FIXTURE_TEST_CASE(history_that_is_always_cut_off_is_read_with_pauses,
-                        SilentStoreFixture) {
-  store.CutHistoryForGood();
+// Guards against reading the store in a loop without pauses.
+BOOST_FIXTURE_TEST_CASE(permanently_truncated_history_is_read_with_pauses,
+                        UnresponsiveStoreFixture) {
+  store.TruncateHistory();
   virtual_timers.RunUntil(absl::Seconds(10));
-  // A look at all keys and one at the log in each quarter of a second.
+  // One read of all keys and one of new records in each quarter of a second.
   BOOST_TEST(store.reads <= 2 * 40);
 }
 
--- a/test/step_settings_test.cc
+++ b/test/step_settings_test.cc
@@ -53,7 +53,7 @@
     BOOST_REQUIRE(settings.ok());
     return std::get<StepEntrySettings>(settings->role).config_within;
   };
-  BOOST_TEST((within(kEntry) == kConfigWithin));
+  BOOST_TEST((within(kEntry) == kDefaultConfigApplyLimit));
   const std::string text = kEntry;
   BOOST_TEST((within(text + "configuration: {in_force_within_ms: 4000}\n") ==
               absl::Seconds(4)));
