--- a/src/store_follower.cc
+++ b/src/store_follower.cc
@@ -111,7 +111,7 @@
     if (m_failing_since == absl::InfiniteDuration()) {
       m_failing_since = m_timers.now();
       const absl::Duration read_duration = m_failing_since - m_read_started_at;
-      LogStateChange({"store unreachable",
+      LogStateChange({"store lost",
                       {{"table", TableName(m_table)},
                        {"under_way_ms", MillisecondsText(read_duration)},
                        {"unconfirmed_ms",
@@ -123,7 +123,7 @@
   }
   if (m_failing_since != absl::InfiniteDuration()) {
     m_failing_since = absl::InfiniteDuration();
-    LogStateChange({"store reachable again", {{"table", TableName(m_table)}}});
+    LogStateChange({"store regained", {{"table", TableName(m_table)}}});
   }
   if (!whole) {
     m_history_truncated = false;
--- a/src/table_exchange.cc
+++ b/src/table_exchange.cc
@@ -184,7 +184,7 @@
                                  const std::string& entry,
                                  std::string_view table) {
   m_actions.push_back(
-      NoteStateChange{"table answer of a peer rejected",
+      NoteStateChange{"peer's answer of no use",
                       {{"entry", entry},
                        {"table", std::string(table)},
                        {"held", absl::StrCat(fetch.PeerVersion(entry))},
