--- a/src/bounded_stdout.h
+++ b/src/bounded_stdout.h
@@ -1,12 +1,12 @@
-// Writes log lines to standard output without ever waiting for its reader.
+// Writes log lines to standard output without blocking on its reader.
 //
 //   BoundedStdout out;
 //   out.Append("time=... event=ready\n");
 //   out.Flush();     // at the end of an event
 //
-// A reader that stands still costs lines, never time: what its pipe does not
-// take is kept up to kMaxHeldBytes, then lines are dropped, and their number is
-// written as soon as there is room again.
+// If the reader stalls and the pipe is full, lines are buffered up to
+// kMaxBufferedBytes. Further lines are dropped and counted; the count is logged
+// as soon as the buffer has space again.
 #ifndef EGRETSWITCH_SRC_BOUNDED_STDOUT_H_
 #define EGRETSWITCH_SRC_BOUNDED_STDOUT_H_
 
@@ -19,8 +19,8 @@
 
 class BoundedStdout {
  public:
-  // Some thousand lines: a second of the busiest entry.
-  static constexpr size_t kMaxHeldBytes = 512u << 10;
+  // Holds a few thousand lines, about one second of the busiest entry.
+  static constexpr size_t kMaxBufferedBytes = 512u << 10;
 
   explicit BoundedStdout(int fd);
 
@@ -31,10 +31,10 @@
 
  private:
   const int m_fd;
-  std::string m_held;
-  size_t m_written = 0;  // of m_held
+  std::string m_buffer;
+  size_t m_written = 0;  // bytes of m_buffer written so far
   uint64_t m_dropped = 0;
-  uint64_t m_dropped_told = 0;
+  uint64_t m_dropped_reported = 0;
 };
 
 }  // namespace egretswitch::internal
--- a/src/daemon_main.cc
+++ b/src/daemon_main.cc
@@ -120,7 +120,7 @@
         loop, common, *entry,
         {codec,
          {store, platform::kConfigKey, platform::DecodeConfig,
-          platform::kEvacuationKeyPrefix, entry->config_within}});
+          platform::kEvacuationKeyPrefix, entry->config_apply_limit}});
     exit_code = RunUntilDrained(loop, daemon, started, signal_fd);
   } else {
     const auto& agent = std::get<StepAgentSettings>(settings.role);
--- a/src/http_client.cc
+++ b/src/http_client.cc
@@ -1,10 +1,11 @@
-// libcurl tells through two callbacks which sockets to watch and when to wake
-// it; everything else happens in curl_multi_socket_action().
+// libcurl's two callbacks, OnSocket and OnTimer, set which sockets the loop
+// watches and when it calls libcurl again. curl_multi_socket_action() does
+// everything else.
 //
-// When a reused connection ends without a byte of reply, libcurl sends the
-// request again on a fresh one. For an append or a start this would do the work
-// twice, so a body is handed out once only (OnReadBody, OnRewind) and the call
-// ends as kLost.
+// When a reused connection ends without a byte of response, libcurl sends the
+// request again on a new one. An append or a start would then be processed
+// twice. So libcurl gets a request body only once (OnReadBody, OnRewind), and
+// the call ends as kLost.
 #include "http_client.h"
 
 #include <curl/curl.h>
@@ -30,32 +31,34 @@
 constexpr size_t kMaxIdleHandles = 16;
 constexpr long kMaxIdleConnections = 32;
 
-// One call under way.
+// One call in flight.
 struct Transfer {
   CURL* easy = nullptr;
   HttpCall call;
   HttpClient::Callback callback;
   size_t body_read = 0;
-  bool body_taken = false;  // libcurl has asked for the body
+  bool body_requested = false;  // libcurl has called OnReadBody
   curl_slist* headers = nullptr;
   std::string response;
-  MonoTime quiet_since = absl::ZeroDuration();  // no byte of the body since
+  MonoTime last_progress = absl::ZeroDuration();  // sending, or last body bytes
 
-  bool BoundsSilence() const {
-    return call.body_silence != absl::InfiniteDuration();
+  bool HasIdleTimeout() const {
+    return call.body_idle_timeout != absl::InfiniteDuration();
   }
-  // When its silence has lasted too long; infinite: libcurl bounds the call.
-  MonoTime SilentAt() const {
-    if (!BoundsSilence()) {
+  // Returns when the call times out for lack of progress, or infinity if
+  // libcurl enforces the timeout of the whole call.
+  MonoTime IdleDeadline() const {
+    if (!HasIdleTimeout()) {
       return absl::InfiniteDuration();
     }
-    return quiet_since + (response.empty() ? call.timeout : call.body_silence);
+    return last_progress +
+           (response.empty() ? call.timeout : call.body_idle_timeout);
   }
 };
 
 size_t OnReadBody(char* buffer, size_t size, size_t count, void* closure) {
   auto* transfer = static_cast<Transfer*>(closure);
-  transfer->body_taken = true;
+  transfer->body_requested = true;
   const std::string& body = transfer->call.body;
   const size_t length =
       std::min(size * count, body.size() - transfer->body_read);
@@ -64,7 +67,8 @@
   return length;
 }
 
-// Asked for before a second sending: refused.
+// libcurl rewinds the body before it sends a request again. Refusing the rewind
+// makes the call fail instead.
 int OnRewind(void*, curl_off_t, int) {
   return CURL_SEEKFUNC_FAIL;
 }
@@ -76,14 +80,15 @@
     return 0;
   }
   transfer->response.append(data, length);
-  transfer->quiet_since = EventLoop::MonoNow();
+  transfer->last_progress = EventLoop::MonoNow();
   return length;
 }
 
-// A GET changes nothing, so what matters is only whether the host refused.
+// A GET has no side effects, so whether it was sent is only tracked for the
+// other methods.
 HttpFailure ClassifyFailure(const Transfer& transfer, CURLcode code) {
   const bool sent =
-      transfer.call.method != HttpMethod::kGet && transfer.body_taken;
+      transfer.call.method != HttpMethod::kGet && transfer.body_requested;
   if (code == CURLE_COULDNT_CONNECT && !sent) {
     long os_error = 0;
     curl_easy_getinfo(transfer.easy, CURLINFO_OS_ERRNO, &os_error);
@@ -97,7 +102,7 @@
                                           : HttpFailure::kLost;
 }
 
-// No "100 Continue" round trip before a body.
+// The empty Expect header avoids a "100 Continue" round trip before a body.
 curl_slist* MakeHeaders(const HttpCall& call) {
   curl_slist* headers = curl_slist_append(nullptr, "Expect:");
   if (call.method != HttpMethod::kGet) {
@@ -111,9 +116,10 @@
   return headers;
 }
 
-// A connection may fall silent for good without a reset, also while a call
-// waits for a long time: probes find out within seconds. A process that is
-// started meanwhile must not keep a copy: the server would not hear of the end.
+// A connection may be lost without a reset, also while a call waits for a long
+// time; keep-alive probes detect this within seconds. FD_CLOEXEC keeps child
+// processes from inheriting the socket: with a copy left open, the server would
+// not see the connection close.
 int OnNewSocket(void*, curl_socket_t fd, curlsocktype) {
   SetLinkOptions(fd);
   ::fcntl(fd, F_SETFD, FD_CLOEXEC);
@@ -134,7 +140,7 @@
   ~Impl();
 
   void Send(HttpCall call, Callback callback);
-  size_t calls_under_way() const { return m_transfers.size(); }
+  size_t calls_in_flight() const { return m_transfers.size(); }
 
  private:
   static int OnSocket(CURL*, curl_socket_t fd, int what, void* self, void*);
@@ -144,8 +150,8 @@
   void Act(int fd, int curl_events);
   void FinishTransfers();
   void Finish(CURL* easy, CURLcode code);
-  void ArmSilenceTimer();
-  void EndSilentCalls();
+  void ArmIdleTimer();
+  void EndIdleCalls();
   CURL* TakeHandle();
   void ReturnHandle(CURL* easy);
   void Configure(Transfer* transfer);
@@ -155,14 +161,14 @@
   EventLoop::TimerId m_timer = 0;
   std::unordered_set<int> m_watched;
   std::unordered_map<CURL*, std::unique_ptr<Transfer>> m_transfers;
-  std::vector<CURL*> m_idle;
-  WakeTimer m_silence_timer{m_loop, [this] { EndSilentCalls(); }};
+  std::vector<CURL*> m_idle_handles;
+  WakeTimer m_idle_timer{m_loop, [this] { EndIdleCalls(); }};
 };
 
 HttpClient::Impl::Impl(EventLoop& loop)
     : m_loop(loop), m_multi((InitLibraryOnce(), curl_multi_init())) {
-  // The library's own bound follows the calls under way: with few of them it
-  // would close connections that the next burst of calls needs again.
+  // libcurl's default limit follows the number of calls in flight: with few of
+  // them it would close connections that the next burst of calls needs.
   curl_multi_setopt(m_multi, CURLMOPT_MAXCONNECTS, kMaxIdleConnections);
   curl_multi_setopt(m_multi, CURLMOPT_SOCKETFUNCTION, &OnSocket);
   curl_multi_setopt(m_multi, CURLMOPT_SOCKETDATA, this);
@@ -176,7 +182,7 @@
     curl_easy_cleanup(easy);
     curl_slist_free_all(transfer->headers);
   }
-  for (CURL* easy : m_idle) {
+  for (CURL* easy : m_idle_handles) {
     curl_easy_cleanup(easy);
   }
   curl_multi_cleanup(m_multi);
@@ -191,12 +197,12 @@
   transfer->easy = TakeHandle();
   transfer->call = std::move(call);
   transfer->callback = std::move(callback);
-  transfer->quiet_since = EventLoop::MonoNow();
+  transfer->last_progress = EventLoop::MonoNow();
   Configure(transfer.get());
   CURL* const easy = transfer->easy;
   m_transfers.emplace(easy, std::move(transfer));
   curl_multi_add_handle(m_multi, easy);
-  ArmSilenceTimer();
+  ArmIdleTimer();
 }
 
 void HttpClient::Impl::Configure(Transfer* transfer) {
@@ -210,7 +216,7 @@
   transfer->headers = MakeHeaders(call);
   curl_easy_setopt(easy, CURLOPT_HTTPHEADER, transfer->headers);
   curl_easy_setopt(easy, CURLOPT_SOCKOPTFUNCTION, &OnNewSocket);
-  if (!transfer->BoundsSilence()) {
+  if (!transfer->HasIdleTimeout()) {
     const long timeout_ms =
         std::max<long>(1, absl::ToInt64Milliseconds(call.timeout));
     curl_easy_setopt(easy, CURLOPT_TIMEOUT_MS, timeout_ms);
@@ -243,8 +249,8 @@
 
 void HttpClient::Impl::WatchSocket(int fd, int what) {
   if (what == CURL_POLL_REMOVE) {
-    // libcurl says so after it has closed the socket of a connection that was
-    // not made in time.
+    // When a connection attempt times out, libcurl closes the socket before it
+    // reports the removal.
     if (m_watched.erase(fd) > 0) {
       m_loop.UnwatchClosed(fd);
     }
@@ -294,36 +300,36 @@
   int running = 0;
   curl_multi_socket_action(m_multi, fd, curl_events, &running);
   FinishTransfers();
-  ArmSilenceTimer();
+  ArmIdleTimer();
 }
 
-void HttpClient::Impl::ArmSilenceTimer() {
+void HttpClient::Impl::ArmIdleTimer() {
   MonoTime next = absl::InfiniteDuration();
   for (const auto& [easy, transfer] : m_transfers) {
-    next = std::min(next, transfer->SilentAt());
+    next = std::min(next, transfer->IdleDeadline());
   }
-  m_silence_timer.Arm(next);
+  m_idle_timer.Arm(next);
 }
 
-void HttpClient::Impl::EndSilentCalls() {
+void HttpClient::Impl::EndIdleCalls() {
   const MonoTime now = EventLoop::MonoNow();
-  std::vector<CURL*> silent;
+  std::vector<CURL*> idle;
   for (const auto& [easy, transfer] : m_transfers) {
-    if (transfer->SilentAt() <= now) {
-      silent.push_back(easy);
+    if (transfer->IdleDeadline() <= now) {
+      idle.push_back(easy);
     }
   }
-  for (CURL* easy : silent) {
+  for (CURL* easy : idle) {
     Finish(easy, CURLE_OPERATION_TIMEDOUT);
   }
-  ArmSilenceTimer();
+  ArmIdleTimer();
 }
 
 void HttpClient::Impl::FinishTransfers() {
-  int left = 0;
-  while (CURLMsg* message = curl_multi_info_read(m_multi, &left)) {
+  int remaining = 0;
+  while (CURLMsg* message = curl_multi_info_read(m_multi, &remaining)) {
     if (message->msg == CURLMSG_DONE) {
-      // The message does not outlive the removal of its handle.
+      // Finish() removes the handle, which invalidates the message.
       Finish(message->easy_handle, message->data.result);
     }
   }
@@ -349,21 +355,21 @@
 }
 
 CURL* HttpClient::Impl::TakeHandle() {
-  if (m_idle.empty()) {
+  if (m_idle_handles.empty()) {
     return curl_easy_init();
   }
-  CURL* easy = m_idle.back();
-  m_idle.pop_back();
+  CURL* easy = m_idle_handles.back();
+  m_idle_handles.pop_back();
   return easy;
 }
 
 void HttpClient::Impl::ReturnHandle(CURL* easy) {
-  if (m_idle.size() >= kMaxIdleHandles) {
+  if (m_idle_handles.size() >= kMaxIdleHandles) {
     curl_easy_cleanup(easy);
     return;
   }
   curl_easy_reset(easy);
-  m_idle.push_back(easy);
+  m_idle_handles.push_back(easy);
 }
 
 HttpClient::HttpClient(EventLoop& loop)
@@ -375,8 +381,8 @@
   m_impl->Send(std::move(call), std::move(callback));
 }
 
-size_t HttpClient::calls_under_way() const {
-  return m_impl->calls_under_way();
+size_t HttpClient::calls_in_flight() const {
+  return m_impl->calls_in_flight();
 }
 
 std::string_view HttpFailureName(HttpFailure failure) {
--- a/src/http_client.h
+++ b/src/http_client.h
@@ -1,11 +1,13 @@
-// HTTP calls by libcurl on an EventLoop, with connections kept open.
+// Asynchronous HTTP calls with libcurl on an EventLoop, over persistent
+// connections.
 //
 //   HttpClient http(loop);
 //   http.Send({.method = HttpMethod::kGet, .url = "http://127.0.0.1:7900/x"},
 //             [](HttpCallResult result) { ... });
 //
-// A call that failed says whether the server may have acted on it. A call is
-// sent at most once: libcurl's own second try on a fresh connection is cut off.
+// The result of a failed call states whether the server may have processed it.
+// A request body is sent at most once: libcurl's own retry on a new connection
+// is prevented.
 #ifndef EGRETSWITCH_SRC_HTTP_CLIENT_H_
 #define EGRETSWITCH_SRC_HTTP_CLIENT_H_
 
@@ -31,20 +33,20 @@
   std::string body;  // JSON unless `content_type` says otherwise; not with kGet
   std::string content_type = "application/json";
   std::vector<HttpHeader> headers = {};
-  absl::Duration timeout = absl::Seconds(5);  // until the whole answer is here
-  // When finite, `timeout` only counts until the answer's body begins, and this
-  // is the longest pause within it: for bodies that a narrow link takes long to
-  // carry.
-  absl::Duration body_silence = absl::InfiniteDuration();
+  absl::Duration timeout = absl::Seconds(5);  // until the response is complete
+  // When finite, `timeout` only bounds the time until the response body begins,
+  // and this bounds each pause within the body. It is meant for bodies that
+  // take long to arrive over a slow link.
+  absl::Duration body_idle_timeout = absl::InfiniteDuration();
 };
 
-// What is known of a call that has no response.
+// Why a call has no response, and whether the server may have processed it.
 enum class HttpFailure : uint8_t {
-  kNone = 0,  // there is a response
-  kRefused,   // the host refused the connection: certainly not done
-  kNotSent,   // no connection, or lost before sending: certainly not done
-  kLost,      // the connection ended after sending: may have been done
-  kTimeout,   // no reply in time after sending: may have been done
+  kNone = 0,  // the call has a response
+  kRefused,   // connection refused: not processed
+  kNotSent,   // no connection, or lost before sending: not processed
+  kLost,      // connection lost after sending: may have been processed
+  kTimeout,   // no response in time after sending: may have been processed
 };
 
 // "none", "refused", "not_sent", "lost" or "timeout".
@@ -61,23 +63,23 @@
   using Callback = std::function<void(HttpCallResult)>;
 
   explicit HttpClient(EventLoop& loop);
-  // Calls under way are dropped; their callbacks never run.
+  // Drops the calls in flight without running their callbacks.
   ~HttpClient();
   HttpClient(const HttpClient&) = delete;
   HttpClient& operator=(const HttpClient&) = delete;
 
-  // The callback runs in a later turn of the loop, never within Send(). It must
-  // not destroy this client.
+  // Runs the callback in a later iteration of the loop, never within Send().
+  // The callback must not destroy this client.
   void Send(HttpCall call, Callback callback);
 
-  size_t calls_under_way() const;
+  size_t calls_in_flight() const;
 
  private:
   class Impl;
   std::unique_ptr<Impl> m_impl;
 };
 
-// `text` with everything but unreserved characters as %XX, for a query value.
+// Percent-encodes all but the unreserved characters, for a query value.
 std::string EscapeQueryValue(std::string_view text);
 
 }  // namespace egretswitch::internal
--- a/src/ip_port.cc
+++ b/src/ip_port.cc
@@ -9,7 +9,7 @@
 namespace {
 
 std::optional<uint16_t> ParsePort(std::string_view text) {
-  // from_chars would take a leading zero: "080" is more likely a slip.
+  // from_chars accepts a leading zero, but "080" is probably a typing error.
   if (text.empty() || text.front() == '0') {
     return std::nullopt;
   }
--- a/src/link_identity.cc
+++ b/src/link_identity.cc
@@ -9,7 +9,7 @@
 uint64_t RandomIncarnation() {
   std::random_device device;
   const uint64_t high = device();
-  // 0 is kept for "no incarnation".
+  // 0 is reserved for "no incarnation".
   return ((high << 32) | device()) | 1;
 }
 
--- a/src/link_identity.h
+++ b/src/link_identity.h
@@ -1,5 +1,5 @@
-// Who a process is on its links to the others, and where it takes theirs: what
-// the settings of every role begin with.
+// How a process identifies itself to its peers and where it accepts their
+// links. The settings of every role include it.
 //
 //   Hello self = MakeHello(settings, ProcessRole::kAgent);
 //   LinkHub hub(loop, MakeHubOptions(settings, self), events);
@@ -17,11 +17,11 @@
   std::string name;  // unique in the deployment
   std::string data_centre;
   std::string region;
-  IpPort listen;           // for links between the system's processes
-  std::string shared_key;  // presented by each peer on such a link
+  IpPort listen;           // accepts links of other entries and agents
+  std::string shared_key;  // each peer presents it on such a link
 };
 
-// Under a new incarnation at each call.
+// Each call draws a new random incarnation.
 Hello MakeHello(const LinkIdentity& identity, ProcessRole role);
 
 LinkHubOptions MakeHubOptions(const LinkIdentity& identity, const Hello& self);
--- a/src/log_client.cc
+++ b/src/log_client.cc
@@ -22,7 +22,8 @@
   return absl::StrCat("log service: HTTP status ", result.status);
 }
 
-// Others write to the stream too: what can't be read must not stop the fold.
+// Operators also publish to the stream, so a record that can't be decoded must
+// not stop the replay.
 LogEntry DecodeEntry(uint64_t offset, const std::string& data) {
   absl::StatusOr<LogRecord> record = DecodeRecord(data);
   if (record.ok()) {
@@ -56,8 +57,8 @@
   return ParsePage(result.body);
 }
 
-// A status other than 200 says that nothing was written (docs/PLATFORM.md); a
-// 200 that can't be read says nothing.
+// A status other than 200 means that nothing was written (docs/PLATFORM.md). A
+// 200 with a malformed body leaves it unknown.
 AppendOutcome AppendOutcomeOf(const HttpCallResult& result) {
   if (result.failure != HttpFailure::kNone) {
     const bool may = result.failure == HttpFailure::kLost ||
--- a/src/log_client.h
+++ b/src/log_client.h
@@ -1,5 +1,6 @@
-// The control stream in the platform's log service, over the HTTP protocol of
-// docs/PLATFORM.md. For another log service, replace this one file pair.
+// Client of the control stream in the platform's log service, over the HTTP
+// protocol of docs/PLATFORM.md. To support another log service, replace this
+// header and its source.
 //
 //   LogClient log(loop, {.address = "127.0.0.1:7900", .stream = "control"});
 //   log.Read(0, absl::Seconds(1), [](absl::StatusOr<LogPage> page) { ... });
@@ -24,12 +25,13 @@
 struct LogClientOptions {
   std::string address;  // "127.0.0.1:7900"
   std::string stream = "control";
-  uint32_t max_records = 500;                      // of one page
-  absl::Duration call_timeout = absl::Seconds(2);  // beyond a read's wait
+  uint32_t max_records = 500;                      // per page
+  absl::Duration call_timeout = absl::Seconds(2);  // added to a read's wait
 };
 
-// Records from the offset asked for on. `first_kept` beyond that offset: the
-// records between were lost to retention. `head` is the next new offset.
+// Records from the requested offset on. If `first_kept` is greater than that
+// offset, retention has removed the records in between. `head` is the offset of
+// the next record to be appended.
 struct LogPage {
   uint64_t first_kept = 0;
   uint64_t head = 0;
@@ -40,7 +42,8 @@
   uint64_t offset = 0;
 };
 
-// `may_have_taken_effect`: only reading back can tell.
+// If `may_have_taken_effect`, only reading the log shows whether the record was
+// appended.
 struct AppendFailed {
   bool may_have_taken_effect = true;
   std::string reason;
@@ -55,8 +58,9 @@
 
   LogClient(EventLoop& loop, LogClientOptions options);
 
-  // Waits in the log up to `wait` when there is nothing from `from` on. A
-  // record that can't be decoded is delivered as Unreadable.
+  // Reads records from offset `from` on. If there are none, the log service
+  // waits up to `wait` for one. A record that can't be decoded is delivered as
+  // Unreadable.
   void Read(uint64_t from, absl::Duration wait, ReadCallback callback);
 
   void Append(const LogRecord& record, AppendCallback callback);
--- a/src/logging.cc
+++ b/src/logging.cc
@@ -22,7 +22,7 @@
 #include "absl/strings/str_cat.h"
 #include "bounded_stdout.h"
 #include "event_loop.h"
-#include "line_budget.h"
+#include "log_rate_limiter.h"
 
 namespace egretswitch::internal {
 namespace {
@@ -44,13 +44,13 @@
 }
 
 std::string JsonText(std::string_view text) {
-  // Bytes that are no UTF-8 are replaced: a log line must never fail.
+  // Replaces bytes that are not UTF-8, so that formatting a line never fails.
   return nlohmann::json(text).dump(-1, ' ', false,
                                    nlohmann::json::error_handler_t::replace);
 }
 
-// Bare when possible; otherwise in quotes with the escapes of JSON, so that a
-// line stays a line.
+// Quotes and escapes the text as in JSON unless it needs no quotes. A line
+// break in the text therefore never splits a log line.
 std::string KeyValueText(std::string_view text) {
   const bool is_bare =
       !text.empty() && std::all_of(text.begin(), text.end(), IsBareCharacter);
@@ -70,12 +70,13 @@
                   KeyValueText(value));
 }
 
-// Routine lines a second: those about requests that went well and retries that
-// cost little. All others are always written. An entry of the sizes of today
-// writes about as many; under a burst the rest is only counted.
+// Rate limit of routine lines, which report successful requests and cheap
+// retries. All other lines are always written. An entry of a typical deployment
+// writes about this many routine lines; those beyond it in a burst are only
+// counted.
 constexpr double kRoutineLinesPerSecond = 60;
 
-// Lines to standard output that never wait for its reader.
+// Appends to standard output without blocking on its reader.
 class StdoutAppender : public log4cplus::Appender {
  public:
   ~StdoutAppender() override { destructorImpl(); }
@@ -99,14 +100,14 @@
   BoundedStdout m_out{STDOUT_FILENO};
 };
 
-// What StartLogging sets up and StopLogging takes down.
+// The open log, from StartLogging() to StopLogging().
 struct OpenLog {
   log4cplus::Logger logger;
   LogFormat format;
   std::string process_name;
-  StdoutAppender* to_stdout = nullptr;  // the appender, if it is one
-  std::mutex budget_mutex;              // guards routine_lines
-  LineBudget routine_lines{kRoutineLinesPerSecond};
+  StdoutAppender* to_stdout = nullptr;  // null if the log goes elsewhere
+  std::mutex limiter_mutex;             // guards routine_limiter
+  LogRateLimiter routine_limiter{kRoutineLinesPerSecond};
 };
 
 std::unique_ptr<OpenLog>& CurrentLog() {
@@ -135,14 +136,14 @@
 
 absl::Status StartLogging(const LoggingSettings& settings,
                           std::string_view process_name) {
-  // The appender itself only complains on standard error.
+  // Checked here because the appender reports it only on standard error.
   if (!settings.file.empty() && !std::ofstream(settings.file, std::ios::app)) {
     return absl::InvalidArgumentError(
         absl::StrCat("logging.file: found \"", settings.file,
                      "\", which can't be written, allowed a file in a "
                      "directory that exists"));
   }
-  // log4cplus can't be started a second time in one process.
+  // log4cplus can be initialized only once in a process.
   static log4cplus::Initializer initializer;
   auto log = std::make_unique<OpenLog>();
   log->logger = log4cplus::Logger::getInstance("egretswitch");
@@ -188,8 +189,8 @@
   }
   OpenLog& log = *CurrentLog();
   if (change.routine) {
-    const std::lock_guard lock(log.budget_mutex);
-    if (!log.routine_lines.Take(EventLoop::MonoNow())) {
+    const std::lock_guard lock(log.limiter_mutex);
+    if (!log.routine_limiter.TryAcquire(EventLoop::MonoNow())) {
       return;
     }
   }
--- a/src/logging.h
+++ b/src/logging.h
@@ -1,5 +1,6 @@
-// The process's log: one structured line for each change of state, through
-// log4cplus. Anything that happens per job or task is a counter instead.
+// The process's structured log, written through log4cplus: one line for each
+// change of state. Events of single jobs or tasks are counted in metrics
+// instead.
 //
 //   StartLogging(settings.logging, "entry-a");
 //   LogStateChange({"shard taken over", {{"shard", "3"}, {"epoch", "5"}}});
@@ -21,28 +22,29 @@
 
 namespace egretswitch::internal {
 
-// Opens the log. Call once, before the first line and before other threads;
-// lines logged without it are dropped. The error is the user's and names the
-// key, as in "logging.file: found ...".
+// Opens the log. Must be called before the first line is logged and before
+// other threads start; lines logged earlier are dropped. An error describes a
+// fault in the settings and names the key, as in "logging.file: found ...".
 absl::Status StartLogging(const LoggingSettings& settings,
                           std::string_view process_name);
 
-// Writes out what is pending and closes the log.
+// Flushes buffered lines and closes the log.
 void StopLogging();
 
-// Lines to standard output are written by this call, at the end of an event:
-// one system call for all lines of it, and none that waits for the reader.
+// Writes the lines buffered for standard output. It is called at the end of
+// each event, so that the lines of one event share a write. It never blocks on
+// the reader of the output.
 void FlushLog();
 
-// Any thread may log.
+// Logs a line. Thread-safe.
 void LogStateChange(const NoteStateChange& change);
 void LogStateChange(LogLevel level, const NoteStateChange& change);
 
-// Whether a line of this level would be written.
+// Returns whether lines of this level are written.
 bool IsLogged(LogLevel level);
 
-// The fields of one line after its time: "level=info process=... ..." or, for
-// JSON, the same as members without the braces.
+// Formats all fields of a line but the time: "level=info process=... ..." or,
+// for JSON, the object's members without the braces.
 std::string FormatLogFields(LogFormat format,
                             LogLevel level,
                             std::string_view process_name,
--- a/src/record_codec.cc
+++ b/src/record_codec.cc
@@ -7,8 +7,8 @@
 
 #include "absl/strings/str_cat.h"
 
-// Each struct lists its fields once, in Describe(); FieldWriter and FieldReader
-// below walk that list in either direction.
+// Describe() lists the fields of each struct once. FieldWriter and FieldReader
+// below use it to encode and to decode.
 
 namespace egretswitch::internal {
 namespace {
@@ -164,7 +164,7 @@
   return "entry_alive";
 }
 
-// Puts the described fields into a JSON object.
+// Writes the described fields to a JSON object.
 class FieldWriter {
  public:
   explicit FieldWriter(Json& object) : m_object(object) {}
@@ -205,10 +205,10 @@
   Json& m_object;
 };
 
-// Takes the described fields out of a JSON object; keeps the first error.
+// Reads the described fields from a JSON object and stops at the first error.
 class FieldReader {
  public:
-  // `path` is the object's own place, "" for the record itself.
+  // `path` is the path of the object, "" for the record itself.
   FieldReader(const Json& object, std::string path)
       : m_object(object), m_path(std::move(path)) {}
 
@@ -217,7 +217,7 @@
     if (!m_status.ok()) {
       return;
     }
-    ++m_known_fields;
+    ++m_field_count;
     const std::string path = PathOf(name);
     const auto it = m_object.find(name);
     if (it == m_object.end()) {
@@ -225,10 +225,10 @@
       return;
     }
     m_status = Read(*it, path, value);
-    m_seen.push_back(name);
+    m_read_names.push_back(name);
   }
 
-  // A field that records of an earlier version don't have.
+  // Reads a field that records of an earlier version don't have.
   template <typename Value>
   void Optional(const char* name, Value& value) {
     if (m_object.contains(name)) {
@@ -236,13 +236,14 @@
     }
   }
 
-  // The first error, also when the object has fields that nobody asked for.
+  // Returns the first error. Unknown fields of the object are an error too.
   absl::Status Finish() const {
-    if (!m_status.ok() || m_object.size() == m_known_fields) {
+    if (!m_status.ok() || m_object.size() == m_field_count) {
       return m_status;
     }
     for (const auto& [name, value] : m_object.items()) {
-      if (std::find(m_seen.begin(), m_seen.end(), name) == m_seen.end()) {
+      if (std::find(m_read_names.begin(), m_read_names.end(), name) ==
+          m_read_names.end()) {
         return FieldError(PathOf(name), "unknown");
       }
     }
@@ -295,8 +296,8 @@
     return ReadUnsigned(json, path, value);
   }
 
-  // nlohmann converts between number types silently; a value out of range must
-  // not wrap around.
+  // nlohmann::json converts between number types without a check, so a value
+  // out of range would wrap around.
   template <typename Unsigned>
   static absl::Status ReadUnsigned(const Json& json,
                                    const std::string& path,
@@ -350,11 +351,12 @@
   const Json& m_object;
   const std::string m_path;
   absl::Status m_status;
-  size_t m_known_fields = 0;
-  std::vector<std::string> m_seen;
+  size_t m_field_count = 0;
+  std::vector<std::string> m_read_names;
 };
 
-// Fills `record` when `type` is the name of Body; false when it is not.
+// Decodes `json` into `record` if `type` is the name of Body; otherwise returns
+// false.
 template <typename Body>
 bool DecodeAs(const Json& json,
               const std::string& type,
@@ -365,9 +367,9 @@
     return false;
   }
   FieldReader fields(json, "");
-  std::string seen_type;
+  std::string decoded_type;
   fields("append_id", record.append_id);
-  fields("type", seen_type);
+  fields("type", decoded_type);
   Describe(body, fields);
   status = fields.Finish();
   record.body = std::move(body);
--- a/src/secret_file.h
+++ b/src/secret_file.h
@@ -1,4 +1,4 @@
-// Secrets (the shared key, the operators' token) as they are kept in files.
+// Reads secrets, such as the shared key or the operators' token, from files.
 //
 //   ReadSecretFile("token") -> "0123456789abcdef", the first line of the file
 #ifndef EGRETSWITCH_SRC_SECRET_FILE_H_
@@ -10,11 +10,12 @@
 
 namespace egretswitch::internal {
 
-// The first line of the file, without its end (LF or CRLF); nullopt when the
-// file can't be read or the line is empty.
+// Returns the first line of the file without its line end (LF or CRLF), or
+// nullopt if the file can't be read or the line is empty.
 std::optional<std::string> ReadSecretFile(const std::string& path);
 
-// Whether an HTTP header can carry the secret: printable ASCII, no spaces.
+// Returns whether an HTTP header can carry the secret: only printable ASCII
+// without spaces.
 bool IsSecretText(std::string_view text);
 
 }  // namespace egretswitch::internal
--- a/src/settings.cc
+++ b/src/settings.cc
@@ -19,8 +19,8 @@
                                                      "error"};
 constexpr std::array<std::string_view, 2> kFormats = {"key_value", "json"};
 
-// Builds the settings from the top mapping of a file. Faults go to `errors`;
-// the result means something only when there are none.
+// Builds the settings from the top-level mapping of a file. The result is valid
+// only if no error was added to `errors`.
 class SettingsBuilder {
  public:
   SettingsBuilder(const YAML::Node& root, SettingsErrors* errors)
@@ -29,7 +29,7 @@
   Settings Build();
 
  private:
-  // One of the process's own addresses; no two may be the same.
+  // Reads an address that the process listens on; these must be distinct.
   IpPort ReadListen(MappingReader& reader);
   OperatorSettings ReadOperator();
   LogServiceSettings ReadLogService();
@@ -52,7 +52,7 @@
   const std::string path = reader.Path("listen");
   const auto [it, is_new] = m_listen_keys.emplace(address.Text(), path);
   if (!is_new) {
-    m_errors->AddFound(
+    m_errors->AddUnexpected(
         reader.Line("listen"), path,
         absl::StrCat("\"", address.Text(), "\", the address of ", it->second),
         "an address of its own");
@@ -65,7 +65,7 @@
   OperatorSettings settings;
   settings.listen = ReadListen(reader);
   settings.token = reader.Secret("token");
-  reader.RefuseOtherKeys();
+  reader.RejectUnknownKeys();
   return settings;
 }
 
@@ -74,7 +74,7 @@
   LogServiceSettings settings;
   settings.url = reader.Url("url");
   settings.stream = reader.Name("stream", settings.stream);
-  reader.RefuseOtherKeys();
+  reader.RejectUnknownKeys();
   return settings;
 }
 
@@ -86,7 +86,7 @@
   settings.format =
       static_cast<LogFormat>(reader.Choice("format", kFormats, 0));
   settings.file = reader.Text("file", "");
-  reader.RefuseOtherKeys();
+  reader.RejectUnknownKeys();
   return settings;
 }
 
@@ -97,10 +97,10 @@
   settings.region = m_root.Name("region");
   settings.listen = ReadListen(m_root);
   if (settings.listen.ip == "0.0.0.0" || settings.listen.ip == "::") {
-    // Other processes are told this address.
-    m_errors->AddFound(m_root.Line("listen"), "listen",
-                       absl::StrCat("\"", settings.listen.Text(), "\""),
-                       "an address that other processes can connect to");
+    // The process announces this address to its peers.
+    m_errors->AddUnexpected(m_root.Line("listen"), "listen",
+                            absl::StrCat("\"", settings.listen.Text(), "\""),
+                            "an address that other processes can connect to");
   }
   settings.shared_key = m_root.Secret("shared_key");
   settings.operator_api = ReadOperator();
@@ -115,7 +115,7 @@
   settings.callers.listen = ReadListen(callers);
   settings.callers.max_connections = callers.Number(
       "max_connections", {1, 100'000}, settings.callers.max_connections);
-  callers.RefuseOtherKeys();
+  callers.RejectUnknownKeys();
   settings.shards = m_root.Number("shards", {1, 4096}, settings.shards);
   return settings;
 }
@@ -129,7 +129,7 @@
   capacity.millicores = worker.Number("millicores", {1, 10'000'000});
   capacity.memory_mb = worker.Number("memory_mb", {1, 100'000'000});
   capacity.accelerators = worker.Number("accelerators", {0, 1024}, 0);
-  worker.RefuseOtherKeys();
+  worker.RejectUnknownKeys();
   return settings;
 }
 
@@ -141,7 +141,7 @@
   if (role == kAgentRole) {
     return ReadAgent();
   }
-  // Without a role there is no telling which of their keys are right.
+  // Without a valid role, the keys of every role are accepted.
   for (const std::string_view key : {"callers", "shards", "worker"}) {
     m_root.Allow(key);
   }
@@ -151,14 +151,14 @@
 Settings SettingsBuilder::Build() {
   CommonSettings common = ReadCommon();
   RoleSettings role = ReadRole();
-  m_root.RefuseOtherKeys();
+  m_root.RejectUnknownKeys();
   return Settings(std::move(common), std::move(role));
 }
 
 absl::StatusOr<Settings> BuildFrom(const std::vector<YAML::Node>& documents,
                                    SettingsErrors& errors) {
   if (documents.size() != 1 || !documents.front().IsMap()) {
-    errors.AddFound(1, "", "something else", "one YAML mapping of keys");
+    errors.AddUnexpected(1, "", "something else", "one YAML mapping of keys");
     return errors.Summary();
   }
   Settings settings = SettingsBuilder(documents.front(), &errors).Build();
@@ -174,29 +174,30 @@
                                        std::string_view name_for_errors) {
   SettingsErrors errors(name_for_errors);
   if (text.size() > kMaxFileBytes) {
-    errors.AddFound(0, "", absl::StrCat(text.size(), " bytes"),
-                    absl::StrCat("up to ", kMaxFileBytes, " bytes"));
+    errors.AddUnexpected(0, "", absl::StrCat(text.size(), " bytes"),
+                         absl::StrCat("up to ", kMaxFileBytes, " bytes"));
     return errors.Summary();
   }
   try {
     return BuildFrom(YAML::LoadAll(std::string(text)), errors);
   } catch (const YAML::Exception& e) {
-    // yaml-cpp reports by exception; none leaves this function.
-    errors.AddFound(e.mark.line + 1, "", "text that is not YAML: " + e.msg,
-                    "one YAML mapping of keys");
+    // yaml-cpp throws on malformed text. No exception leaves this function.
+    errors.AddUnexpected(e.mark.line + 1, "", "text that is not YAML: " + e.msg,
+                         "one YAML mapping of keys");
     return errors.Summary();
   }
 }
 
 absl::StatusOr<std::string> ReadSettingsFile(std::string_view path) {
   std::ifstream in{std::string(path), std::ios::binary};
-  // One byte beyond the limit is enough to refuse the file.
+  // Reads one byte more than the limit, so that ParseSettings() rejects a file
+  // that is too long.
   std::string text(kMaxFileBytes + 1, '\0');
   in.read(text.data(), static_cast<std::streamsize>(text.size()));
   text.resize(static_cast<size_t>(in.gcount()));
   if (!in.is_open() || in.bad()) {
     SettingsErrors errors(path);
-    errors.AddFound(0, "", "no file that can be read", "a YAML file");
+    errors.AddUnexpected(0, "", "no file that can be read", "a YAML file");
     return errors.Summary();
   }
   return text;
--- a/src/settings.h
+++ b/src/settings.h
@@ -1,10 +1,10 @@
-// The settings of one process, read once at its start from a YAML file.
+// The settings of one process, read from a YAML file at startup.
 //
 //   absl::StatusOr<Settings> settings = LoadSettings("entry.yaml");
 //   settings->common().listen.Text()         -> "127.0.0.1:7001"
 //   std::get<EntrySettings>(settings->role()).shards  -> 64
 //
-// Every key is checked, and all faults are reported in one pass, a line each:
+// Every key is validated, and all errors are reported together, one per line:
 //
 //   user error: entry.yaml:12: callers.listen: found "localhost:80", allowed
 //   an IP number and a port, such as 127.0.0.1:8080
@@ -30,27 +30,27 @@
 enum class LogLevel : uint8_t { kDebug, kInfo, kWarning, kError };
 enum class LogFormat : uint8_t { kKeyValue, kJson };
 
-// Where and how changes of state are logged.
+// Destination, level and format of the log.
 struct LoggingSettings {
   LogLevel level = LogLevel::kInfo;
   LogFormat format = LogFormat::kKeyValue;
   std::string file;        // empty: standard error
-  bool to_stdout = false;  // standard output, in place of all others
+  bool to_stdout = false;  // standard output, overrides `file`
 };
 
-// The operators' own HTTP address: status, metrics, table, drain.
+// The HTTP API for operators: status, metrics, table, drain.
 struct OperatorSettings {
   IpPort listen;
   std::string token;
 };
 
-// The platform's log service and our stream in it.
+// The platform's log service and the stream that this deployment uses in it.
 struct LogServiceSettings {
   std::string url;  // "http://ip:port", no slash at the end
   std::string stream = "control";
 };
 
-// What every role has.
+// Settings that every role has.
 struct CommonSettings : LinkIdentity {
   OperatorSettings operator_api;
   LogServiceSettings log_service;
@@ -64,10 +64,10 @@
 
 struct EntrySettings {
   CallerSettings callers;
-  uint32_t shards = kDefaultShardCount;  // the same in the whole deployment
+  uint32_t shards = kDefaultShardCount;  // must be equal in all entries
 };
 
-// The worker beside an agent.
+// The worker that an agent manages.
 struct WorkerSettings {
   std::string url;  // "http://ip:port", no slash at the end
   uint32_t slots = 0;
@@ -80,7 +80,7 @@
 
 using RoleSettings = std::variant<EntrySettings, AgentSettings>;
 
-// Checked settings; they never change during the life of a process.
+// Validated settings, immutable while the process runs.
 class Settings {
  public:
   Settings(CommonSettings common, RoleSettings role)
@@ -94,15 +94,17 @@
   RoleSettings m_role;
 };
 
-// Reads and checks the file. The status message holds a "user error: " line
-// for each fault and is meant to be printed as it is.
+// Reads and validates the file. The status message has a "user error: " line
+// for each error and can be printed as it is.
 absl::StatusOr<Settings> LoadSettings(std::string_view path);
 
-// The text of a settings file; the status message is as above.
+// Returns the text of a settings file. Errors are reported as by
+// LoadSettings().
 absl::StatusOr<std::string> ReadSettingsFile(std::string_view path);
 
-// The same for text in memory. `name_for_errors` stands for the file; a
-// relative shared_key_file or token_file is sought in its directory.
+// Like LoadSettings() for text in memory. `name_for_errors` replaces the file's
+// path; a relative shared_key_file or token_file is resolved against its
+// directory.
 absl::StatusOr<Settings> ParseSettings(std::string_view text,
                                        std::string_view name_for_errors);
 
--- a/src/settings_reader.cc
+++ b/src/settings_reader.cc
@@ -14,7 +14,7 @@
 
 constexpr size_t kMaxNameBytes = 64;
 constexpr size_t kMaxShownBytes = 60;
-constexpr size_t kLeastSecretBytes = 16;
+constexpr size_t kMinSecretBytes = 16;
 constexpr size_t kMaxSecretBytes = 1024;
 constexpr std::string_view kUrlPrefix = "http://";
 
@@ -50,7 +50,8 @@
          c == '-';
 }
 
-// The key's node and value; node["key"] would hide a duplicate.
+// Returns the first pair with `key`. node["key"] can't be used, because it
+// hides a duplicate.
 std::optional<YAML::const_iterator::value_type> FindKey(const YAML::Node& node,
                                                         std::string_view key) {
   if (!node.IsMap()) {
@@ -72,8 +73,8 @@
   uint32_t value = 0;
   const char* end = text.data() + text.size();
   const auto [stop, error] = std::from_chars(text.data(), end, value);
-  const bool whole = error == std::errc() && stop == end;
-  return whole ? std::optional(value) : std::nullopt;
+  const bool parsed = error == std::errc() && stop == end;
+  return parsed ? std::optional(value) : std::nullopt;
 }
 
 }  // namespace
@@ -86,29 +87,29 @@
     absl::StrAppend(&place, ":", line);
   }
   const std::string subject = key.empty() ? "" : std::string(key) + ": ";
-  m_faults.push_back(
+  m_collected.push_back(
       {line, absl::StrCat("user error: ", place, ": ", subject, ToAbsl(text))});
 }
 
-void SettingsErrors::AddFound(int line,
-                              std::string_view key,
-                              std::string_view found,
-                              std::string_view allowed) {
+void SettingsErrors::AddUnexpected(int line,
+                                   std::string_view key,
+                                   std::string_view found,
+                                   std::string_view allowed) {
   Add(line, key,
       absl::StrCat("found ", ToAbsl(found), ", allowed ", ToAbsl(allowed)));
 }
 
 absl::Status SettingsErrors::Summary() const {
-  if (m_faults.empty()) {
+  if (m_collected.empty()) {
     return absl::OkStatus();
   }
-  std::vector<Fault> ordered = m_faults;
+  std::vector<Error> ordered = m_collected;
   std::stable_sort(
       ordered.begin(), ordered.end(),
-      [](const Fault& a, const Fault& b) { return a.line < b.line; });
+      [](const Error& a, const Error& b) { return a.line < b.line; });
   return absl::InvalidArgumentError(
-      absl::StrJoin(ordered, "\n", [](std::string* out, const Fault& fault) {
-        absl::StrAppend(out, fault.text);
+      absl::StrJoin(ordered, "\n", [](std::string* out, const Error& error) {
+        absl::StrAppend(out, error.text);
       }));
 }
 
@@ -121,7 +122,7 @@
       m_line(line),
       m_absent(!node.IsMap()),
       m_errors(errors) {
-  RefuseDuplicates();
+  RejectDuplicates();
 }
 
 bool MappingReader::Has(std::string_view key) const {
@@ -145,9 +146,9 @@
   if (pair && !value.IsMap()) {
     const std::string found =
         value.IsScalar() ? Quoted(value.Scalar()) : KindName(value);
-    Fault(key, found, "a mapping of keys");
+    AddError(key, found, "a mapping of keys");
   } else if (!pair && required && !m_absent) {
-    Fault(key, "nothing", "a mapping of keys");
+    AddError(key, "nothing", "a mapping of keys");
   }
   return MappingReader(value, Path(key), Line(key), m_errors);
 }
@@ -159,12 +160,12 @@
   const auto pair = FindKey(m_node, key);
   if (!pair) {
     if (required && !m_absent) {
-      Fault(key, "nothing", allowed);
+      AddError(key, "nothing", allowed);
     }
     return std::nullopt;
   }
   if (!pair->second.IsScalar()) {
-    Fault(key, KindName(pair->second), allowed);
+    AddError(key, KindName(pair->second), allowed);
     return std::nullopt;
   }
   return pair->second.Scalar();
@@ -178,7 +179,7 @@
     return std::string(fallback.value_or(""));
   }
   if (text->empty()) {
-    Fault(key, "\"\"", kAllowed);
+    AddError(key, "\"\"", kAllowed);
   }
   return *text;
 }
@@ -186,18 +187,19 @@
 uint32_t MappingReader::Number(std::string_view key,
                                NumberRange range,
                                std::optional<uint32_t> fallback) {
-  const std::string allowed =
-      absl::StrCat("a whole number from ", range.least, " to ", range.most);
+  const std::string allowed = absl::StrCat(
+      "a whole number from ", range.minimum, " to ", range.maximum);
   const auto text = Scalar(key, !fallback, allowed);
   if (!text) {
-    return fallback.value_or(range.least);
+    return fallback.value_or(range.minimum);
   }
   const std::optional<uint32_t> number = ParseNumber(*text);
-  // Tag "!" marks a quoted scalar, which is a text and no number.
+  // yaml-cpp tags a quoted scalar with "!": it is text, not a number.
   const bool quoted = FindKey(m_node, key)->second.Tag() == "!";
-  if (quoted || !number || *number < range.least || *number > range.most) {
-    Fault(key, quoted ? "the text " + Quoted(*text) : Quoted(*text), allowed);
-    return range.least;
+  if (quoted || !number || *number < range.minimum || *number > range.maximum) {
+    AddError(key, quoted ? "the text " + Quoted(*text) : Quoted(*text),
+             allowed);
+    return range.minimum;
   }
   return *number;
 }
@@ -211,7 +213,7 @@
   }
   if (text->empty() || text->size() > kMaxNameBytes ||
       !std::all_of(text->begin(), text->end(), IsNameCharacter)) {
-    Fault(key, Quoted(*text), kAllowed);
+    AddError(key, Quoted(*text), kAllowed);
   }
   return *text;
 }
@@ -225,7 +227,7 @@
   }
   const std::optional<IpPort> address = ParseIpPort(*text);
   if (!address) {
-    Fault(key, Quoted(*text), kAllowed);
+    AddError(key, Quoted(*text), kAllowed);
   }
   return address.value_or(IpPort{});
 }
@@ -240,7 +242,7 @@
   const std::string_view url = *text;
   if (!url.starts_with(kUrlPrefix) ||
       !ParseIpPort(url.substr(kUrlPrefix.size()))) {
-    Fault(key, Quoted(url), kAllowed);
+    AddError(key, Quoted(url), kAllowed);
   }
   return *text;
 }
@@ -258,7 +260,7 @@
   }
   const auto it = std::find(choices.begin(), choices.end(), *text);
   if (it == choices.end()) {
-    Fault(key, Quoted(*text), allowed);
+    AddError(key, Quoted(*text), allowed);
   }
   return static_cast<size_t>(it - choices.begin());
 }
@@ -272,7 +274,8 @@
   const bool in_file = Has(file_key);
   if (in_file && Has(key)) {
     m_known.emplace(key);
-    Fault(key, absl::StrCat("both ", ToAbsl(key), " and ", file_key), allowed);
+    AddError(key, absl::StrCat("both ", ToAbsl(key), " and ", file_key),
+             allowed);
     return "";
   }
   const auto secret =
@@ -280,14 +283,14 @@
   if (!secret) {
     return "";
   }
-  // The secret itself is never shown.
-  const std::string_view found_at = in_file ? file_key : key;
-  if (secret->size() < kLeastSecretBytes || secret->size() > kMaxSecretBytes) {
-    Fault(found_at, absl::StrCat("a secret of ", secret->size(), " bytes"),
-          "16 to 1024 bytes");
+  // Error messages never contain the secret itself.
+  const std::string_view source_key = in_file ? file_key : key;
+  if (secret->size() < kMinSecretBytes || secret->size() > kMaxSecretBytes) {
+    AddError(source_key, absl::StrCat("a secret of ", secret->size(), " bytes"),
+             "16 to 1024 bytes");
   } else if (!IsSecretText(*secret)) {
-    Fault(found_at, "a secret with other characters",
-          "printable ASCII characters without spaces");
+    AddError(source_key, "a secret with other characters",
+             "printable ASCII characters without spaces");
   }
   return *secret;
 }
@@ -302,12 +305,13 @@
   const auto directory = std::filesystem::path(m_errors->file()).parent_path();
   auto secret = ReadSecretFile(directory / *path);
   if (!secret) {
-    Fault(key, Quoted(*path) + ", which can't be read or is empty", kAllowed);
+    AddError(key, Quoted(*path) + ", which can't be read or is empty",
+             kAllowed);
   }
   return secret;
 }
 
-void MappingReader::RefuseOtherKeys() {
+void MappingReader::RejectUnknownKeys() {
   if (!m_node.IsMap()) {
     return;
   }
@@ -315,13 +319,13 @@
   for (const auto& pair : m_node) {
     const std::string key = KeyText(pair.first);
     if (!m_known.contains(key)) {
-      m_errors->AddFound(LineOf(pair.first), Path(key), "an unknown key",
-                         allowed);
+      m_errors->AddUnexpected(LineOf(pair.first), Path(key), "an unknown key",
+                              allowed);
     }
   }
 }
 
-void MappingReader::RefuseDuplicates() {
+void MappingReader::RejectDuplicates() {
   if (!m_node.IsMap()) {
     return;
   }
@@ -329,16 +333,16 @@
   for (const auto& pair : m_node) {
     const std::string key = KeyText(pair.first);
     if (!seen.insert(key).second) {
-      m_errors->AddFound(LineOf(pair.first), Path(key), "the key a second time",
-                         "each key once");
+      m_errors->AddUnexpected(LineOf(pair.first), Path(key),
+                              "the key a second time", "each key once");
     }
   }
 }
 
-void MappingReader::Fault(std::string_view key,
-                          std::string_view found,
-                          std::string_view allowed) {
-  m_errors->AddFound(Line(key), Path(key), found, allowed);
+void MappingReader::AddError(std::string_view key,
+                             std::string_view found,
+                             std::string_view allowed) {
+  m_errors->AddUnexpected(Line(key), Path(key), found, allowed);
 }
 
 }  // namespace egretswitch::internal
--- a/src/step_settings.cc
+++ b/src/step_settings.cc
@@ -10,7 +10,8 @@
 constexpr std::array<std::string_view, 2> kRoles = {"step_entry", "step_agent"};
 constexpr size_t kEntryRole = 0;
 
-// "http://127.0.0.1:7900" -> "127.0.0.1:7900"; the reader has checked it.
+// "http://127.0.0.1:7900" -> "127.0.0.1:7900". MappingReader has validated the
+// URL, but returns an invalid one too.
 std::string AddressOfUrl(const std::string& url) {
   constexpr std::string_view kScheme = "http://";
   return url.size() < kScheme.size() ? url : url.substr(kScheme.size());
@@ -19,25 +20,25 @@
 IpPort ReadListen(MappingReader& root, std::string_view section) {
   MappingReader reader = root.Section(section, true);
   const IpPort address = reader.Address("listen");
-  reader.RefuseOtherKeys();
+  reader.RejectUnknownKeys();
   return address;
 }
 
 std::string ReadAddress(MappingReader& root, std::string_view section) {
   MappingReader reader = root.Section(section, true);
   const std::string url = reader.Url("url");
-  reader.RefuseOtherKeys();
+  reader.RejectUnknownKeys();
   return AddressOfUrl(url);
 }
 
-absl::Duration ReadConfigWithin(MappingReader& root) {
+absl::Duration ReadConfigApplyLimit(MappingReader& root) {
   constexpr NumberRange kMilliseconds = {1, 3'600'000};
   MappingReader reader = root.Section("configuration", false);
-  const absl::Duration within = absl::Milliseconds(reader.Number(
+  const absl::Duration limit = absl::Milliseconds(reader.Number(
       "in_force_within_ms", kMilliseconds,
       static_cast<uint32_t>(absl::ToInt64Milliseconds(kConfigWithin))));
-  reader.RefuseOtherKeys();
-  return within;
+  reader.RejectUnknownKeys();
+  return limit;
 }
 
 StepSettings Read(MappingReader& root, SettingsErrors& errors) {
@@ -60,12 +61,12 @@
       logging.Choice("level", kLevels, static_cast<size_t>(LogLevel::kInfo)));
   common.logging.format =
       static_cast<LogFormat>(logging.Choice("format", kFormats, 0));
-  logging.RefuseOtherKeys();
+  logging.RejectUnknownKeys();
   if (role == kEntryRole) {
     StepEntrySettings entry;
     entry.callers_listen = ReadListen(root, "callers");
     entry.ready_listen = ReadListen(root, "ready");
-    entry.config_within = ReadConfigWithin(root);
+    entry.config_apply_limit = ReadConfigApplyLimit(root);
     settings.role = entry;
   } else {
     StepAgentSettings agent;
@@ -73,9 +74,9 @@
     agent.worker_address = ReadAddress(root, "worker");
     settings.role = agent;
   }
-  root.RefuseOtherKeys();
+  root.RejectUnknownKeys();
   if (common.name.empty()) {
-    errors.AddFound(root.Line("name"), "name", "nothing", "a name");
+    errors.AddUnexpected(root.Line("name"), "name", "nothing", "a name");
   }
   return settings;
 }
@@ -89,7 +90,7 @@
     return role.IsDefined() && role.IsScalar() &&
            role.Scalar().starts_with("step_");
   } catch (const YAML::Exception&) {
-    return false;  // the reader of the other roles reports it
+    return false;  // ParseSettings() reports the error
   }
 }
 
@@ -106,9 +107,9 @@
     }
     return settings;
   } catch (const YAML::Exception& e) {
-    // yaml-cpp reports by exception; none leaves this function.
-    errors.AddFound(e.mark.line + 1, "", "text that is not YAML: " + e.msg,
-                    "one YAML mapping of keys");
+    // yaml-cpp throws on malformed text. No exception leaves this function.
+    errors.AddUnexpected(e.mark.line + 1, "", "text that is not YAML: " + e.msg,
+                         "one YAML mapping of keys");
     return errors.Summary();
   }
 }
--- a/src/step_settings.h
+++ b/src/step_settings.h
@@ -1,10 +1,10 @@
-// The settings of a process that serves jobs made of steps, from a YAML file:
+// The settings of the roles that serve jobs made of steps, from a YAML file:
 //
 //   role: step_entry          role: step_agent
 //   callers: {listen: ...}    worker: {url: ...}
 //
-// platform/entry.yaml and platform/agent.yaml show every key. Faults are
-// reported as settings.h says.
+// platform/entry.yaml and platform/agent.yaml show every key. Errors are
+// reported as described in settings.h.
 #ifndef EGRETSWITCH_SRC_STEP_SETTINGS_H_
 #define EGRETSWITCH_SRC_STEP_SETTINGS_H_
 
@@ -21,22 +21,23 @@
 
 namespace egretswitch::internal {
 
-// What both roles have.
+// Settings that both roles have.
 struct StepCommonSettings : LinkIdentity {
   IpPort metrics_listen;
-  std::string store_address;  // of the platform's store, "ip:port"
+  std::string store_address;  // the platform's store, "ip:port"
   LoggingSettings logging;
 };
 
 struct StepEntrySettings {
   IpPort callers_listen;
-  // A configuration is in force so long after its publication.
-  absl::Duration config_within = kConfigWithin;
-  IpPort ready_listen;  // where the balancer asks whether to send callers here
+  // The longest time from the publication of a configuration until this entry
+  // applies it.
+  absl::Duration config_apply_limit = kConfigWithin;
+  IpPort ready_listen;  // readiness probes of the load balancer
 };
 
 struct StepAgentSettings {
-  IpPort announcements_listen;  // where the worker reports itself
+  IpPort announcements_listen;  // the worker announces itself here
   std::string worker_address;   // "ip:port"
 };
 
@@ -45,7 +46,7 @@
   std::variant<StepEntrySettings, StepAgentSettings> role;
 };
 
-// Whether the text asks for one of these roles; false for what is no YAML.
+// Returns whether the text sets one of these roles; false if it is not YAML.
 bool IsStepSettings(std::string_view text);
 
 absl::StatusOr<StepSettings> ParseStepSettings(
--- a/src/table_csv.cc
+++ b/src/table_csv.cc
@@ -59,7 +59,7 @@
   absl::StatusOr<std::vector<VersionedRow>> Read(std::string_view text) {
     const auto split = SplitCsv(text);
     if (const auto* fault = std::get_if<CsvFault>(&split)) {
-      AddFound(fault->line, std::string(fault->found), fault->allowed);
+      AddUnexpected(fault->line, std::string(fault->found), fault->allowed);
     } else {
       ReadRecords(std::get<std::vector<CsvRecord>>(split));
     }
@@ -76,7 +76,7 @@
       const std::string found =
           records.empty() ? "nothing"
                           : Quoted(absl::StrJoin(records[0].fields, ","));
-      AddFound(1, found, absl::StrCat("the header line ", header));
+      AddUnexpected(1, found, absl::StrCat("the header line ", header));
       return;
     }
     for (size_t i = 1; i < records.size(); ++i) {
@@ -87,8 +87,8 @@
   void ReadRow(const CsvRecord& record) {
     const size_t field_count = kFixedColumns + kColumns.size();
     if (record.fields.size() != field_count) {
-      AddFound(record.line, absl::StrCat(record.fields.size(), " fields"),
-               absl::StrCat(field_count, " fields"));
+      AddUnexpected(record.line, absl::StrCat(record.fields.size(), " fields"),
+                    absl::StrCat(field_count, " fields"));
       return;
     }
     const size_t faults_before = m_faults.size();
@@ -144,7 +144,9 @@
     Add(line, absl::StrCat("column ", std::string(column), ": found ", found,
                            ", allowed ", std::string(allowed)));
   }
-  void AddFound(int line, const std::string& found, std::string_view allowed) {
+  void AddUnexpected(int line,
+                     const std::string& found,
+                     std::string_view allowed) {
     Add(line,
         absl::StrCat("found ", found, ", allowed ", std::string(allowed)));
   }
--- a/src/worker_client.cc
+++ b/src/worker_client.cc
@@ -1,6 +1,6 @@
-// A start whose reply was lost may run: it counts as started until its end
-// comes through the poll. Only when the worker, asked for its list, knows
-// neither of it running nor ended, is it reported as kLost.
+// A task may run although the reply to its start was lost, so it counts as
+// started until the poll reports its end. It is reported as kLost only if the
+// worker's task list has it neither as running nor as ended.
 //
 //   POST /tasks:batch -> lost -> GET /tasks -> "g-1" is not there -> kLost
 #include "worker_client.h"
@@ -16,7 +16,7 @@
 
 constexpr int kOk = 200;
 constexpr int kConflict = 409;
-constexpr uint32_t kMaxBatchesUnderWay = 4;
+constexpr uint32_t kMaxBatchesInFlight = 4;
 constexpr size_t kMaxBatchTasks = 256;
 constexpr size_t kMaxBatchBytes = 4u << 20;
 
@@ -34,26 +34,26 @@
 
 void WorkerClient::Connect() {
   if (m_state == State::kIdle) {
-    m_state = State::kTaking;
-    TakeWorker();
+    m_state = State::kAcquiring;
+    AcquireWorker();
   }
 }
 
-void WorkerClient::TakeWorker() {
+void WorkerClient::AcquireWorker() {
   HttpCall call = MakeCall(HttpMethod::kPost, "/holder");
   call.body = EncodeHolder(m_options.holder);
   Send(std::move(call),
-       [this](const HttpCallResult& result) { OnTaken(result); });
+       [this](const HttpCallResult& result) { OnAcquired(result); });
 }
 
-void WorkerClient::OnTaken(const HttpCallResult& result) {
+void WorkerClient::OnAcquired(const HttpCallResult& result) {
   if (result.failure != HttpFailure::kNone || result.status != kOk) {
-    RunLater(m_options.retry_period, [this] { TakeWorker(); });
+    RunLater(m_options.retry_period, [this] { AcquireWorker(); });
     return;
   }
   absl::StatusOr<WorkerTaskList> list = ParseTaskList(result.body);
   if (!list.ok()) {
-    RunLater(m_options.retry_period, [this] { TakeWorker(); });
+    RunLater(m_options.retry_period, [this] { AcquireWorker(); });
     return;
   }
   m_state = State::kHeld;
@@ -89,9 +89,10 @@
   }
 }
 
-// While kMaxBatchesUnderWay are under way the rest waits and travels together.
+// While kMaxBatchesInFlight are in flight, further starts wait in the queue and
+// share the next batch.
 void WorkerClient::FlushQueue() {
-  while (!m_queue.empty() && m_batches_under_way < kMaxBatchesUnderWay) {
+  while (!m_queue.empty() && m_batches_in_flight < kMaxBatchesInFlight) {
     SendBatch();
   }
 }
@@ -110,10 +111,10 @@
   }
   HttpCall call = MakeCall(HttpMethod::kPost, "/tasks:batch");
   call.body = EncodeBatch(m_options.holder, starts);
-  ++m_batches_under_way;
+  ++m_batches_in_flight;
   Send(std::move(call),
        [this, leases = std::move(leases)](const HttpCallResult& result) {
-         --m_batches_under_way;
+         --m_batches_in_flight;
          OnBatchDone(leases, result);
        });
 }
@@ -127,7 +128,7 @@
       break;
     case HttpFailure::kLost:
     case HttpFailure::kTimeout:
-      DoubtStarts(leases);
+      MarkStartsUnknown(leases);
       break;
     case HttpFailure::kNone:
       if (result.status == kOk) {
@@ -144,13 +145,14 @@
   }
 }
 
-// The end of a task may have come before the reply to its start.
+// A task is no longer open if its end was reported before the reply to its
+// start arrived.
 void WorkerClient::OnStartResults(const Leases& leases,
                                   const std::string& body) {
   const absl::StatusOr<std::vector<StartResult>> results =
       ParseStartResults(body);
   if (!results.ok() || results->size() != leases.size()) {
-    DoubtStarts(leases);
+    MarkStartsUnknown(leases);
     return;
   }
   for (const StartResult& result : *results) {
@@ -173,7 +175,7 @@
   }
 }
 
-void WorkerClient::DoubtStarts(const Leases& leases) {
+void WorkerClient::MarkStartsUnknown(const Leases& leases) {
   for (const LeaseId& lease : leases) {
     const auto it = m_open.find(lease);
     if (it != m_open.end()) {
@@ -188,27 +190,27 @@
 
 void WorkerClient::ListTasks() {
   m_list_scheduled = false;
-  Leases doubtful;
+  Leases unresolved;
   for (const auto& [lease, state] : m_open) {
     if (state == StartState::kUnknown) {
-      doubtful.push_back(lease);
+      unresolved.push_back(lease);
     }
   }
-  if (doubtful.empty()) {
+  if (unresolved.empty()) {
     return;
   }
-  std::sort(doubtful.begin(), doubtful.end());
+  std::sort(unresolved.begin(), unresolved.end());
   Send(MakeCall(
            HttpMethod::kGet,
            absl::StrCat("/tasks?holder=", EscapeQueryValue(m_options.holder))),
-       [this, doubtful = std::move(doubtful)](const HttpCallResult& result) {
-         OnListed(doubtful, result);
-       });
+       [this, unresolved = std::move(unresolved)](
+           const HttpCallResult& result) { OnListed(unresolved, result); });
 }
 
-// An end is acknowledged only after it was delivered, so a lease that is not
-// listed and still open here never ended.
-void WorkerClient::OnListed(const Leases& doubtful,
+// The worker lists an ended task until its end is acknowledged, which happens
+// only after delivery. So a lease that is still open here and not listed has
+// neither ended nor is it running.
+void WorkerClient::OnListed(const Leases& unresolved,
                             const HttpCallResult& result) {
   if (CheckLost(result)) {
     return;
@@ -218,14 +220,14 @@
     list = ParseTaskList(result.body);
   }
   if (!list.ok()) {
-    DoubtStarts(doubtful);
+    MarkStartsUnknown(unresolved);
     return;
   }
   std::unordered_set<LeaseId> listed;
   for (const WorkerTask& task : list->tasks) {
     listed.insert(task.lease);
   }
-  for (const LeaseId& lease : doubtful) {
+  for (const LeaseId& lease : unresolved) {
     const auto it = m_open.find(lease);
     if (it == m_open.end()) {
       continue;
@@ -263,7 +265,7 @@
     return;
   }
   if (page->instance != m_instance) {
-    LoseWorker(State::kTaking);
+    OnWorkerLost(State::kAcquiring);
     return;
   }
   DeliverEnds(*page);
@@ -294,17 +296,17 @@
   }
 }
 
-// One call at a time: a wave of cancellations must not take all of the worker's
-// connections. A stop that overtook its start would have no effect, so it waits
-// until the worker is known to run the task.
+// Sends one call at a time, so that a burst of cancellations does not use up
+// the worker's connections. A stop that arrived before its start would have no
+// effect, so it waits until the worker has accepted the task.
 void WorkerClient::FlushStops() {
   Leases ready;
   Leases early;
   for (LeaseId& lease : m_stops) {
     const auto it = m_open.find(lease);
     if (it != m_open.end()) {
-      const bool runs = it->second == StartState::kRunning;
-      (runs ? ready : early).push_back(std::move(lease));
+      const bool running = it->second == StartState::kRunning;
+      (running ? ready : early).push_back(std::move(lease));
     }
   }
   m_stops = std::move(early);
@@ -329,7 +331,7 @@
     FlushStops();
     return;
   }
-  // Stopping twice is harmless; those that have ended are left out.
+  // Stops are idempotent, so all are repeated for tasks that are still open.
   for (const LeaseId& lease : leases) {
     if (m_open.count(lease) > 0) {
       m_stops.push_back(lease);
@@ -338,24 +340,24 @@
   RunLater(m_options.retry_period, [this] { FlushStops(); });
 }
 
-// A holder of "" means that the worker has restarted and nobody holds it yet.
+// A holder of "" means that the worker has restarted and has no holder yet.
 bool WorkerClient::CheckLost(const HttpCallResult& result) {
   if (result.failure == HttpFailure::kRefused) {
-    LoseWorker(State::kTaking);
+    OnWorkerLost(State::kAcquiring);
     return true;
   }
   if (result.failure != HttpFailure::kNone || result.status != kConflict) {
     return false;
   }
-  const std::optional<std::string> holder = ParsePresentHolder(result.body);
+  const std::optional<std::string> holder = ParseCurrentHolder(result.body);
   if (!holder.has_value() || *holder == m_options.holder) {
     return false;
   }
-  LoseWorker(holder->empty() ? State::kTaking : State::kReplaced);
+  OnWorkerLost(holder->empty() ? State::kAcquiring : State::kReplaced);
   return true;
 }
 
-void WorkerClient::LoseWorker(State next) {
+void WorkerClient::OnWorkerLost(State next) {
   m_state = next;
   m_session = std::make_shared<char>();
   m_open.clear();
@@ -364,14 +366,14 @@
   m_flush_scheduled = false;
   m_stops_scheduled = false;
   m_list_scheduled = false;
-  m_batches_under_way = 0;
-  if (next == State::kTaking) {
-    RunLater(m_options.retry_period, [this] { TakeWorker(); });
+  m_batches_in_flight = 0;
+  if (next == State::kAcquiring) {
+    RunLater(m_options.retry_period, [this] { AcquireWorker(); });
   }
   m_handler(WorkerLost{});
 }
 
-// Every lease ends once: later news of it is dropped.
+// Reports the end of a lease once and drops any later report of it.
 void WorkerClient::EndTask(WorkerTaskEnded ended) {
   if (m_open.erase(ended.lease) > 0) {
     m_handler(std::move(ended));
--- a/src/worker_protocol.cc
+++ b/src/worker_protocol.cc
@@ -16,7 +16,7 @@
       absl::StrCat("worker: reply is malformed: ", error.what()));
 }
 
-// The worker said that the task ended; any word but "finished" is a failure.
+// Any status of an ended task other than "finished" is a failure.
 TaskStatus ParseStatus(const std::string& status) {
   return status == "finished" ? TaskStatus::kFinished : TaskStatus::kFailed;
 }
@@ -100,7 +100,7 @@
       StartResult result;
       result.lease = item.at("lease").get<std::string>();
       result.verdict = item.at("verdict").get<std::string>();
-      // A duplicate was accepted before.
+      // A duplicate of an earlier start that was accepted.
       result.accepted =
           result.verdict == "accepted" || result.verdict == "duplicate";
       results.push_back(std::move(result));
@@ -125,7 +125,7 @@
   }
 }
 
-std::optional<std::string> ParsePresentHolder(const std::string& body) {
+std::optional<std::string> ParseCurrentHolder(const std::string& body) {
   const Json json = Json::parse(body, nullptr, false);
   if (!json.is_object() || !json.contains("holder") ||
       !json["holder"].is_string()) {
--- a/src/worker_protocol.h
+++ b/src/worker_protocol.h
@@ -1,4 +1,5 @@
-// The JSON bodies exchanged with a worker, as docs/PLATFORM.md describes them.
+// Encodes and parses the JSON bodies exchanged with a worker, as described in
+// docs/PLATFORM.md.
 //
 //   EncodeStart({lease "g-1", team desk, id a17, index 0, ...})
 //   -> {"lease":"g-1","team":"desk","id":"a17","index":0,"payload":"..."}
@@ -17,14 +18,14 @@
 
 namespace egretswitch::internal {
 
-// The worker's tasks that run, or ended without our acknowledgement.
-// `instance` is new at every start of the worker.
+// The worker's tasks that are running, or ended and not yet acknowledged.
+// `instance` changes with every start of the worker.
 struct WorkerTaskList {
   std::string instance;
   std::vector<WorkerTask> tasks;
 };
 
-// The worker's answer to one start.
+// The worker's response to one start.
 struct StartResult {
   LeaseId lease;
   bool accepted = false;
@@ -45,11 +46,11 @@
 std::string EncodeStop(std::string_view holder,
                        absl::Span<const LeaseId> leases);
 
-// One element of a batch. Fails when a text is not UTF-8: a changed payload
-// must not run in place of the caller's.
+// Returns one element of a batch. Fails if a text is not UTF-8, since replacing
+// the invalid bytes would run a payload that differs from the caller's.
 absl::StatusOr<std::string> EncodeStart(const StartOnWorker& start);
 
-// `starts` as EncodeStart() gave them.
+// `starts` are elements returned by EncodeStart().
 std::string EncodeBatch(std::string_view holder,
                         absl::Span<const std::string> starts);
 
@@ -58,8 +59,8 @@
     const std::string& body);
 absl::StatusOr<EndsPage> ParseEnds(const std::string& body);
 
-// The holder that a 409 reply names; nothing when it names none.
-std::optional<std::string> ParsePresentHolder(const std::string& body);
+// Returns the holder named by a 409 reply, or nullopt if it names none.
+std::optional<std::string> ParseCurrentHolder(const std::string& body);
 
 }  // namespace egretswitch::internal
 
--- a/test/bounded_stdout_test.cc
+++ b/test/bounded_stdout_test.cc
@@ -1,4 +1,5 @@
-// Log lines to a reader that stands still cost no time and are bounded.
+// Tests that logging to a stalled reader neither blocks nor buffers without
+// bound.
 #include "bounded_stdout.h"
 
 #include <fcntl.h>
@@ -7,7 +8,7 @@
 #include <boost/test/unit_test.hpp>
 #include <string>
 
-#include "line_budget.h"
+#include "log_rate_limiter.h"
 #include "unique_fd.h"
 
 namespace egretswitch::internal {
@@ -38,7 +39,7 @@
 
 BOOST_FIXTURE_TEST_SUITE(bounded_stdout, BoundedStdoutFixture)
 
-BOOST_AUTO_TEST_CASE(lines_come_out_whole_and_in_order) {
+BOOST_AUTO_TEST_CASE(flush_writes_whole_lines_in_order) {
   BoundedStdout out(writer.get());
   out.Append("one\n");
   out.Append("two\n");
@@ -47,8 +48,8 @@
   BOOST_TEST(ReadAll() == "one\ntwo\n");
 }
 
-// The pipe is left blocking: a write that waited would hang the test.
-BOOST_AUTO_TEST_CASE(reader_that_stands_still_costs_lines_and_no_time) {
+// The pipe is in blocking mode, so a write that blocks would hang the test.
+BOOST_AUTO_TEST_CASE(stalled_reader_drops_lines_without_blocking) {
   BoundedStdout out(writer.get());
   const std::string line = std::string(99, 'x') + "\n";
   for (int i = 0; i < 20'000; ++i) {
@@ -68,20 +69,22 @@
   BOOST_TEST(all.ends_with("last\n"));
 }
 
-BOOST_AUTO_TEST_CASE(budget_lets_a_burst_pass_and_then_its_rate) {
-  LineBudget budget(10);
-  int taken = 0;
+BOOST_AUTO_TEST_CASE(rate_limiter_allows_a_burst_and_then_its_rate) {
+  LogRateLimiter limiter(10);
+  int allowed = 0;
   for (int i = 0; i < 100; ++i) {
-    taken += budget.Take(absl::Seconds(5)) ? 1 : 0;
+    allowed += limiter.TryAcquire(absl::Seconds(5)) ? 1 : 0;
   }
-  BOOST_TEST(taken == 10);
-  taken = 0;
+  BOOST_TEST(allowed == 10);
+  allowed = 0;
   for (int i = 1; i <= 100; ++i) {
-    taken += budget.Take(absl::Seconds(5) + i * absl::Milliseconds(10)) ? 1 : 0;
+    allowed += limiter.TryAcquire(absl::Seconds(5) + i * absl::Milliseconds(10))
+                   ? 1
+                   : 0;
   }
-  BOOST_TEST(taken >= 9);
-  BOOST_TEST(taken <= 11);
-  BOOST_TEST(budget.withheld() > 0u);
+  BOOST_TEST(allowed >= 9);
+  BOOST_TEST(allowed <= 11);
+  BOOST_TEST(limiter.suppressed() > 0u);
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/test/http_client_test.cc
+++ b/test/http_client_test.cc
@@ -1,5 +1,5 @@
-// Calls through libcurl to servers that behave badly: each ends once, with what
-// is known of it, and the loop goes on.
+// Tests calls to misbehaving servers: each call ends once with the right
+// failure, and the event loop stays usable.
 #include "http_client.h"
 
 #include <arpa/inet.h>
@@ -21,7 +21,7 @@
 namespace egretswitch::internal {
 namespace {
 
-// Ends a test that would otherwise hang; no result depends on it.
+// Bounds a test that would otherwise hang. No result depends on it.
 constexpr absl::Duration kGiveUpAfter = absl::Seconds(30);
 
 sockaddr_in Loopback(uint16_t port) {
@@ -32,8 +32,8 @@
   return address;
 }
 
-// The port that was chosen.
-uint16_t ListenAnywhere(int fd) {
+// Listens on a free port and returns it.
+uint16_t ListenOnFreePort(int fd) {
   sockaddr_in address = Loopback(0);
   BOOST_REQUIRE(
       ::bind(fd, reinterpret_cast<sockaddr*>(&address), sizeof(address)) == 0);
@@ -43,11 +43,11 @@
   return ntohs(address.sin_port);
 }
 
-// Listens, but its queue of new connections is full: a further connection
-// hangs, as one to a host without power does.
-class DeafServer {
+// A listener whose backlog is full: a further connection attempt hangs, like
+// one to a host without power.
+class FullBacklogServer {
  public:
-  DeafServer() : m_listener(::socket(AF_INET, SOCK_STREAM, 0)) {
+  FullBacklogServer() : m_listener(::socket(AF_INET, SOCK_STREAM, 0)) {
     sockaddr_in address = Loopback(0);
     BOOST_REQUIRE(::bind(m_listener.get(),
                          reinterpret_cast<sockaddr*>(&address),
@@ -75,21 +75,21 @@
   std::vector<UniqueFd> m_fillers;
 };
 
-// Answers one call: the head and as many pieces of the body as asked for, one
-// each kPieceEvery, of kPieces.
-class DribblingServer {
+// Responds to one call with the headers and the first `pieces` of the kPieces
+// pieces of the body, one every kPieceEvery.
+class SlowBodyServer {
  public:
   static constexpr int kPieces = 8;
   static constexpr absl::Duration kPieceEvery = absl::Milliseconds(20);
 
-  DribblingServer(EventLoop& loop, int pieces)
+  SlowBodyServer(EventLoop& loop, int pieces)
       : m_loop(loop),
         m_left(pieces),
         m_listener(::socket(AF_INET, SOCK_STREAM, 0)) {
-    m_port = ListenAnywhere(m_listener.get());
+    m_port = ListenOnFreePort(m_listener.get());
     m_loop.Watch(m_listener.get(), EPOLLIN, [this](uint32_t) { Accept(); });
   }
-  ~DribblingServer() { m_loop.Unwatch(m_listener.get()); }
+  ~SlowBodyServer() { m_loop.Unwatch(m_listener.get()); }
 
   std::string Url() const {
     return "http://127.0.0.1:" + std::to_string(m_port) + "/x";
@@ -110,7 +110,7 @@
     }
   }
 
-  // A caller that has given up closes the connection at any moment.
+  // A client whose call has timed out may close the connection at any time.
   void Write(const std::string& text) {
     const ssize_t written =
         ::send(m_call.get(), text.data(), text.size(), MSG_NOSIGNAL);
@@ -129,16 +129,16 @@
   uint16_t m_port = 0;
 };
 
-// Takes one call and never answers it.
-class SilentServer {
+// Accepts one call and never responds to it.
+class UnresponsiveServer {
  public:
-  explicit SilentServer(EventLoop& loop)
+  explicit UnresponsiveServer(EventLoop& loop)
       : m_loop(loop),
         m_listener(::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0)) {
-    m_port = ListenAnywhere(m_listener.get());
+    m_port = ListenOnFreePort(m_listener.get());
     m_loop.Watch(m_listener.get(), EPOLLIN, [this](uint32_t) { Accept(); });
   }
-  ~SilentServer() {
+  ~UnresponsiveServer() {
     m_loop.Unwatch(m_listener.get());
     m_loop.Unwatch(m_call.get());
   }
@@ -146,8 +146,8 @@
   std::string Url() const {
     return "http://127.0.0.1:" + std::to_string(m_port) + "/x";
   }
-  bool taken() const { return m_taken; }
-  bool told_of_the_end() const { return m_told_of_the_end; }
+  bool received() const { return m_received; }
+  bool connection_closed() const { return m_connection_closed; }
 
  private:
   void Accept() {
@@ -160,9 +160,9 @@
   void Read() {
     char piece[4096];
     const ssize_t got = ::recv(m_call.get(), piece, sizeof(piece), 0);
-    m_taken = true;
+    m_received = true;
     if (got <= 0) {
-      m_told_of_the_end = true;
+      m_connection_closed = true;
       m_loop.Unwatch(m_call.get());
     }
   }
@@ -171,19 +171,19 @@
   UniqueFd m_listener;
   UniqueFd m_call;
   uint16_t m_port = 0;
-  bool m_taken = false;
-  bool m_told_of_the_end = false;
+  bool m_received = false;
+  bool m_connection_closed = false;
 };
 
 struct HttpClientFixture {
   HttpCallResult Get(const std::string& url,
                      absl::Duration timeout,
-                     absl::Duration body_silence) {
+                     absl::Duration body_idle_timeout) {
     std::optional<HttpCallResult> result;
     HttpCall call;
     call.url = url;
     call.timeout = timeout;
-    call.body_silence = body_silence;
+    call.body_idle_timeout = body_idle_timeout;
     http.Send(std::move(call),
               [&result](HttpCallResult got) { result = std::move(got); });
     BOOST_REQUIRE(
@@ -211,25 +211,25 @@
 
 BOOST_FIXTURE_TEST_SUITE(http_client, HttpClientFixture)
 
-BOOST_AUTO_TEST_CASE(call_host_that_takes_no_connection_ends_as_not_sent) {
-  const DeafServer server;
+BOOST_AUTO_TEST_CASE(call_to_host_with_full_backlog_ends_as_not_sent) {
+  const FullBacklogServer server;
   const HttpCallResult result = Call(server.Url(), HttpMethod::kPost);
   BOOST_TEST((result.failure == HttpFailure::kNotSent));
 }
 
-BOOST_AUTO_TEST_CASE(calls_host_that_takes_no_connection_leave_the_loop_whole) {
-  const DeafServer server;
+BOOST_AUTO_TEST_CASE(calls_to_host_with_full_backlog_leave_the_loop_usable) {
+  const FullBacklogServer server;
   for (int i = 0; i < 5; ++i) {
     const HttpCallResult result = Call(server.Url(), HttpMethod::kGet);
     BOOST_TEST((result.failure != HttpFailure::kNone));
   }
-  BOOST_TEST(http.calls_under_way() == 0u);
+  BOOST_TEST(http.calls_in_flight() == 0u);
 }
 
-// Guards against a caller whose leaving the server never hears of: another
-// process holds a copy of the connection.
-BOOST_AUTO_TEST_CASE(call_given_up_after_a_process_was_started_ends_at_server) {
-  SilentServer server(loop);
+// Guards against a child process that inherits a copy of the socket, so that
+// the server never sees the connection close.
+BOOST_AUTO_TEST_CASE(timed_out_call_closes_its_connection_despite_a_child) {
+  UnresponsiveServer server(loop);
   soak::ChildProcess child({"/bin/sleep", "60"}, "/dev/null");
   std::optional<HttpCallResult> result;
   HttpCall call;
@@ -239,40 +239,41 @@
   http.Send(std::move(call),
             [&result](HttpCallResult got) { result = std::move(got); });
   BOOST_REQUIRE(
-      loop.RunUntil([&server] { return server.taken(); }, kGiveUpAfter));
+      loop.RunUntil([&server] { return server.received(); }, kGiveUpAfter));
   child.Start();
   BOOST_REQUIRE(
       loop.RunUntil([&result] { return result.has_value(); }, kGiveUpAfter));
-  BOOST_TEST(loop.RunUntil([&server] { return server.told_of_the_end(); },
+  BOOST_TEST(loop.RunUntil([&server] { return server.connection_closed(); },
                            kGiveUpAfter));
   BOOST_TEST(child.running());
 }
 
-// The whole body takes 140 ms at least, which is beyond a bound on the whole.
-BOOST_AUTO_TEST_CASE(body_that_takes_long_and_goes_on_is_read_whole) {
-  DribblingServer server(loop, DribblingServer::kPieces);
+// The body takes at least 140 ms, which exceeds the total timeout of the next
+// test.
+BOOST_AUTO_TEST_CASE(slow_body_with_progress_is_read_whole) {
+  SlowBodyServer server(loop, SlowBodyServer::kPieces);
   const HttpCallResult result = Get(server.Url(), kGiveUpAfter, kGiveUpAfter);
   BOOST_TEST((result.failure == HttpFailure::kNone));
-  BOOST_TEST(result.body.size() == DribblingServer::kPieces);
+  BOOST_TEST(result.body.size() == SlowBodyServer::kPieces);
 }
 
-BOOST_AUTO_TEST_CASE(body_beyond_a_bound_on_the_whole_ends_as_timeout) {
-  DribblingServer server(loop, DribblingServer::kPieces);
+BOOST_AUTO_TEST_CASE(body_beyond_the_total_timeout_ends_as_timeout) {
+  SlowBodyServer server(loop, SlowBodyServer::kPieces);
   const HttpCallResult result =
       Get(server.Url(), absl::Milliseconds(60), absl::InfiniteDuration());
   BOOST_TEST((result.failure == HttpFailure::kTimeout));
 }
 
-BOOST_AUTO_TEST_CASE(body_that_stops_midway_ends_as_timeout) {
-  DribblingServer server(loop, DribblingServer::kPieces / 2);
+BOOST_AUTO_TEST_CASE(stalled_body_ends_as_timeout) {
+  SlowBodyServer server(loop, SlowBodyServer::kPieces / 2);
   const HttpCallResult result =
       Get(server.Url(), kGiveUpAfter / 2, absl::Milliseconds(60));
   BOOST_TEST((result.failure == HttpFailure::kTimeout));
-  BOOST_TEST(http.calls_under_way() == 0);
+  BOOST_TEST(http.calls_in_flight() == 0);
 }
 
-BOOST_AUTO_TEST_CASE(answer_that_never_begins_ends_as_timeout) {
-  DribblingServer server(loop, 0);
+BOOST_AUTO_TEST_CASE(body_that_never_begins_ends_as_timeout) {
+  SlowBodyServer server(loop, 0);
   const HttpCallResult result =
       Get(server.Url(), absl::Milliseconds(60), kGiveUpAfter);
   BOOST_TEST((result.failure == HttpFailure::kTimeout));
--- a/test/logging_test.cc
+++ b/test/logging_test.cc
@@ -1,5 +1,5 @@
-// Proves that a log line stays one line, can be read back, and reaches the file
-// that the settings name.
+// Tests that an event becomes exactly one log line, that the line can be
+// parsed, and that it is written to the configured file.
 #include "logging.h"
 
 #include <algorithm>
@@ -17,7 +17,7 @@
     "shard taken over",
     {{"shard", "3"}, {"from", "entry-b"}, {"why", "said \"no\"\n\xff"}}};
 
-// The text with every digit as 0.
+// Replaces every digit by 0.
 std::string ShapeOf(std::string text) {
   std::replace_if(
       text.begin(), text.end(), [](char c) { return c >= '0' && c <= '9'; },
--- a/test/platform_clients_test.cc
+++ b/test/platform_clients_test.cc
@@ -1,5 +1,5 @@
-// Our clients of the log service and of a worker, against the stand-ins, which
-// run in this process: what each failure of the platform looks like to us.
+// Tests LogClient and WorkerClient against stand-ins of the log service and the
+// worker in this process: what each client reports for each failure.
 #include <boost/test/unit_test.hpp>
 #include <memory>
 #include <optional>
@@ -20,9 +20,9 @@
 namespace egretswitch::internal {
 namespace {
 
-// Only ends a test that hangs; no test waits for time to pass.
-constexpr absl::Duration kCap = absl::Seconds(60);
-constexpr int kMaxQuestions = 10'000;
+// Bounds a test that would otherwise hang. No result depends on it.
+constexpr absl::Duration kTestTimeout = absl::Seconds(60);
+constexpr int kMaxListCalls = 10'000;
 
 LogRecord SlotRecord(const std::string& name) {
   return {absl::StrCat("append-", name), SlotRemoved{name}};
@@ -31,7 +31,7 @@
 class LoopFixture {
  protected:
   void RunUntil(absl::FunctionRef<bool()> done) {
-    BOOST_REQUIRE(m_loop.RunUntil(done, kCap));
+    BOOST_REQUIRE(m_loop.RunUntil(done, kTestTimeout));
   }
 
   HttpCallResult Post(uint16_t port,
@@ -99,7 +99,7 @@
 
 constexpr char kLongTask[] = R"({"run_ms":3600000})";
 
-// The events of one client, in order.
+// Records the events of one client in order.
 struct EventRecorder {
   std::vector<AgentEvent> events;
 
@@ -145,22 +145,22 @@
   }
 
   void ConnectFirst() {
-    m_first = MakeClient("agent-1/1", &m_seen);
+    m_first = MakeClient("agent-1/1", &m_first_events);
     RunUntil([this] { return m_first->connected(); });
   }
 
   std::vector<WorkerTaskEnded> Ends() const {
-    return m_seen.Of<WorkerTaskEnded>();
+    return m_first_events.Of<WorkerTaskEnded>();
   }
 
   void RunUntilEnds(size_t count) {
     RunUntil([this, count] { return Ends().size() >= count; });
   }
 
-  // Until the worker itself says that `count` tasks run. Asks again and again:
-  // the loop has no event of its own for it.
+  // Runs until the worker lists `count` tasks. It polls the worker because the
+  // loop has no event for this.
   void RunUntilRunning(size_t count) {
-    for (int i = 0; i < kMaxQuestions && ListedTasks() != count; ++i) {
+    for (int i = 0; i < kMaxListCalls && ListedTasks() != count; ++i) {
     }
     BOOST_REQUIRE(ListedTasks() == count);
   }
@@ -182,7 +182,7 @@
 
   stand_ins::WorkerOptions m_options;
   std::unique_ptr<stand_ins::Worker> m_worker;
-  EventRecorder m_seen;
+  EventRecorder m_first_events;
   std::unique_ptr<WorkerClient> m_first;
 };
 
@@ -213,7 +213,7 @@
   BOOST_TEST((*page)->entries.size() == 1u);
 }
 
-BOOST_AUTO_TEST_CASE(records_beyond_retention_are_told_by_first_kept) {
+BOOST_AUTO_TEST_CASE(first_kept_reports_records_lost_to_retention) {
   stand_ins::LogServiceOptions options;
   options.retention.records = 2;
   StartLog(options);
@@ -245,8 +245,9 @@
   BOOST_TEST(!page->ok());
 }
 
-// libcurl would send the append again on a fresh connection.
-BOOST_AUTO_TEST_CASE(lost_reply_on_a_kept_connection_appends_once) {
+// Guards against libcurl's own retry, which would send the append again on a
+// new connection.
+BOOST_AUTO_TEST_CASE(lost_reply_on_a_reused_connection_appends_once) {
   StartLog();
   Append("a");
   Control(R"({"mode":"lose_replies"})");
@@ -263,13 +264,13 @@
   BOOST_TEST(Read(0)->head == 0u);
 }
 
-BOOST_AUTO_TEST_CASE(log_that_is_not_there_fails_without_effect) {
+BOOST_AUTO_TEST_CASE(unreachable_log_fails_without_effect) {
   StartLog();
   m_log.reset();
   BOOST_TEST(!MayHaveTakenEffect(Append("a")));
 }
 
-BOOST_AUTO_TEST_CASE(undecodable_record_is_folded_to_nothing) {
+BOOST_AUTO_TEST_CASE(undecodable_record_is_applied_as_invalid) {
   StartLog();
   Post(m_log->port(), "/streams/control/records", "not a record");
   Append("a");
@@ -334,9 +335,10 @@
   BOOST_TEST(Ends()[0].payload == "stopped");
 }
 
-// More starts than four batches hold, so that a stop sent at once would
-// overtake its start; connections for the poll, the batches and one stop.
-BOOST_AUTO_TEST_CASE(wave_of_stops_reaches_every_task_just_started) {
+// There are more starts than four batches hold, so a stop sent at once would
+// arrive before its start. The worker's six connections are enough for the
+// poll, four batches and one stop.
+BOOST_AUTO_TEST_CASE(burst_of_stops_reaches_every_task_just_started) {
   constexpr size_t kTasks = 1200;
   m_options.capacity.slots = kTasks;
   m_options.http.connections = 6;
@@ -364,18 +366,18 @@
   BOOST_TEST((Ends()[0].status == TaskStatus::kFailed));
 }
 
-BOOST_AUTO_TEST_CASE(later_holder_is_told_what_runs_and_the_former_is_refused) {
+BOOST_AUTO_TEST_CASE(new_holder_receives_running_tasks_and_former_is_refused) {
   ConnectFirst();
   m_first->StartBatch({MakeStart("g-1", kLongTask)});
   RunUntilRunning(1);
-  EventRecorder seen_by_second;
-  const auto second = MakeClient("agent-1/2", &seen_by_second);
+  EventRecorder second_events;
+  const auto second = MakeClient("agent-1/2", &second_events);
   RunUntil([&second] { return second->connected(); });
-  const auto listed = seen_by_second.Of<WorkerTasksListed>();
+  const auto listed = second_events.Of<WorkerTasksListed>();
   BOOST_REQUIRE(listed.size() == 1u);
   BOOST_REQUIRE(listed[0].running.size() == 1u);
   BOOST_TEST(listed[0].running[0].lease == "g-1");
-  RunUntil([this] { return !m_seen.Of<WorkerLost>().empty(); });
+  RunUntil([this] { return !m_first_events.Of<WorkerLost>().empty(); });
   m_first->StartBatch({MakeStart("g-2", kLongTask)});
   RunUntilEnds(1);
   BOOST_TEST((Ends()[0].status == TaskStatus::kRefusedByWorker));
@@ -386,14 +388,14 @@
   m_first->StartBatch({MakeStart("g-1", kLongTask)});
   RunUntilRunning(1);
   m_first.reset();
-  EventRecorder seen_by_second;
-  const auto second = MakeClient("agent-1/2", &seen_by_second);
+  EventRecorder second_events;
+  const auto second = MakeClient("agent-1/2", &second_events);
   RunUntil([&second] { return second->connected(); });
   second->Stop("g-1");
-  RunUntil([&seen_by_second] {
-    return !seen_by_second.Of<WorkerTaskEnded>().empty();
+  RunUntil([&second_events] {
+    return !second_events.Of<WorkerTaskEnded>().empty();
   });
-  BOOST_TEST(seen_by_second.Of<WorkerTaskEnded>()[0].lease == "g-1");
+  BOOST_TEST(second_events.Of<WorkerTaskEnded>()[0].lease == "g-1");
 }
 
 BOOST_AUTO_TEST_CASE(start_whose_reply_was_lost_ends_through_the_poll) {
@@ -408,7 +410,7 @@
   BOOST_TEST(Ends()[0].payload == "stopped");
 }
 
-BOOST_AUTO_TEST_CASE(start_that_the_worker_does_not_know_is_lost) {
+BOOST_AUTO_TEST_CASE(start_not_listed_by_the_worker_is_lost) {
   ConnectFirst();
   Control(R"({"mode":"lose_requests"})");
   m_first->StartBatch({MakeStart("g-1", kLongTask)});
@@ -416,14 +418,15 @@
   BOOST_TEST((Ends()[0].status == TaskStatus::kLost));
 }
 
-BOOST_AUTO_TEST_CASE(worker_gone_is_told_and_taken_again_when_back) {
+BOOST_AUTO_TEST_CASE(restarted_worker_is_reported_lost_and_reconnected) {
   ConnectFirst();
   m_first->StartBatch({MakeStart("g-1", kLongTask)});
   RunUntilRunning(1);
   RestartWorker();
-  RunUntil([this] { return m_seen.Of<WorkerTasksListed>().size() == 2; });
-  BOOST_TEST(m_seen.Of<WorkerLost>().size() == 1u);
-  BOOST_TEST(m_seen.Of<WorkerTasksListed>()[1].running.empty());
+  RunUntil(
+      [this] { return m_first_events.Of<WorkerTasksListed>().size() == 2; });
+  BOOST_TEST(m_first_events.Of<WorkerLost>().size() == 1u);
+  BOOST_TEST(m_first_events.Of<WorkerTasksListed>()[1].running.empty());
   BOOST_TEST(Ends().empty());
 }
 
--- a/test/record_codec_test.cc
+++ b/test/record_codec_test.cc
@@ -1,5 +1,5 @@
-// Every record of the control stream survives its JSON form, and a text that is
-// not a record is refused with the name of the field at fault.
+// Tests that every record of the control stream round-trips through JSON, and
+// that other texts are rejected with the name of the invalid field.
 #include "record_codec.h"
 
 #include <boost/test/unit_test.hpp>
@@ -12,7 +12,8 @@
 
 constexpr uint64_t kLargest = std::numeric_limits<uint64_t>::max();
 
-// Both directions, compared as msgpack bytes: that form has every field.
+// Returns the msgpack bytes of `body`, which contain every field. The tests
+// compare records by them.
 std::string PackedBody(const RecordBody& body) {
   msgpack::sbuffer buffer;
   msgpack::pack(buffer, body);
@@ -73,7 +74,7 @@
   CheckRoundTrip(snapshot);
 }
 
-BOOST_AUTO_TEST_CASE(snapshot_from_before_former_entries_is_decoded) {
+BOOST_AUTO_TEST_CASE(snapshot_without_former_entries_is_decoded) {
   const absl::StatusOr<LogRecord> record = DecodeRecord(
       R"({"append_id":"a","type":"snapshot","next_offset":12,"shards":[],)"
       R"("entries":[],"slots":[],"rows":[],"table_version":6})");
--- a/test/settings_test.cc
+++ b/test/settings_test.cc
@@ -1,5 +1,5 @@
-// Proves that settings are read as written and that every kind of fault is
-// reported with its file, line and key, all in one pass.
+// Tests that settings are read as written, and that every kind of error is
+// reported with its file, line and key in one pass.
 #include "settings.h"
 
 #include <filesystem>
@@ -55,7 +55,7 @@
   return settings.ok() ? "" : std::string(settings.status().message());
 }
 
-// The errors of kEntry with one change.
+// Returns the errors of kEntry with one change.
 std::string ErrorsWith(std::string_view from, std::string_view to) {
   return ErrorsOf(Replaced(kEntry, from, to));
 }
@@ -63,7 +63,7 @@
 constexpr std::string_view kAddressAllowed =
     ", allowed an IP number and a port, such as 127.0.0.1:8080";
 
-// A directory of its own for each test.
+// Creates a temporary directory for each test.
 struct DirectoryFixture {
   DirectoryFixture() {
     std::string pattern =
@@ -118,7 +118,7 @@
                  std::string(kAddressAllowed));
 }
 
-BOOST_AUTO_TEST_CASE(address_out_of_form_is_refused) {
+BOOST_AUTO_TEST_CASE(malformed_address_is_refused) {
   for (const char* bad :
        {"127.0.0.1", "127.0.0.1:0", "127.0.0.1:65536", "127.0.0.1:080",
         "1.2.3:80", "[127.0.0.1]:80", "::1:80", "127.0.0.1:80x", ":80"}) {
@@ -191,7 +191,7 @@
       "keys");
 }
 
-BOOST_AUTO_TEST_CASE(number_out_of_form_or_range_is_refused) {
+BOOST_AUTO_TEST_CASE(malformed_or_out_of_range_number_is_refused) {
   const std::string allowed = ", allowed a whole number from 1 to 4096";
   const std::string place = "user error: s.yaml:14: shards: found ";
   for (const char* bad :
@@ -220,7 +220,7 @@
              "key_value or json");
 }
 
-BOOST_AUTO_TEST_CASE(unknown_role_is_reported_without_complaint_on_its_keys) {
+BOOST_AUTO_TEST_CASE(unknown_role_hides_faults_of_role_specific_keys) {
   BOOST_TEST(ErrorsWith("role: entry", "role: worker") ==
              "user error: s.yaml:1: role: found \"worker\", allowed entry or "
              "agent");
@@ -270,7 +270,7 @@
   BOOST_TEST(lines == expected, boost::test_tools::per_element());
 }
 
-BOOST_AUTO_TEST_CASE(text_that_is_no_yaml_mapping_is_refused) {
+BOOST_AUTO_TEST_CASE(text_that_is_not_a_yaml_mapping_is_refused) {
   BOOST_TEST(
       ErrorsOf("a: [1,\n")
           .starts_with("user error: s.yaml:2: found text that is not YAML: "));
@@ -291,7 +291,7 @@
              "bytes");
 }
 
-BOOST_FIXTURE_TEST_CASE(secret_in_a_file_is_sought_beside_the_settings,
+BOOST_FIXTURE_TEST_CASE(secret_file_is_relative_to_the_settings_file,
                         DirectoryFixture) {
   Write("key", "fedcba9876543210\nsecond line\n");
   const std::string path = Write(
--- a/test/soak/soak_faults.cc
+++ b/test/soak/soak_faults.cc
@@ -125,7 +125,7 @@
   m_deployment.store().PutEvacuation(data_centre);
   m_loop.RunAfter(absl::Milliseconds(draw(200, 4000)), [this, data_centre] {
     m_ledger.Note(absl::StrCat("take back ", data_centre));
-    m_deployment.store().TakeBack(data_centre);
+    m_deployment.store().RemoveEvacuation(data_centre);
   });
   m_loop.RunAfter(absl::Milliseconds(draw(500, 5000)), [this] { Evacuate(); });
 }
@@ -233,7 +233,7 @@
       return;
     case 2:
       Note("store forgets its history");
-      store.CutHistory();
+      store.TruncateHistory();
       return;
     default:
       HarmProxy(m_deployment.store_proxy(), "the store");
--- a/test/step_settings_test.cc
+++ b/test/step_settings_test.cc
@@ -1,4 +1,4 @@
-// The settings of the roles that serve jobs made of steps.
+// Tests the settings of the roles that serve jobs made of steps.
 #include "step_settings.h"
 
 #include <boost/test/unit_test.hpp>
@@ -47,15 +47,15 @@
   BOOST_TEST(entry.callers_listen.Text() == "10.1.0.13:8161");
 }
 
-BOOST_AUTO_TEST_CASE(time_for_a_configuration_is_read_or_stands) {
-  const auto within = [](const std::string& text) {
+BOOST_AUTO_TEST_CASE(config_apply_limit_is_read_or_defaults) {
+  const auto limit_of = [](const std::string& text) {
     const auto settings = ParseStepSettings(text, "node.yaml");
     BOOST_REQUIRE(settings.ok());
-    return std::get<StepEntrySettings>(settings->role).config_within;
+    return std::get<StepEntrySettings>(settings->role).config_apply_limit;
   };
-  BOOST_TEST((within(kEntry) == kConfigWithin));
+  BOOST_TEST((limit_of(kEntry) == kConfigWithin));
   const std::string text = kEntry;
-  BOOST_TEST((within(text + "configuration: {in_force_within_ms: 4000}\n") ==
+  BOOST_TEST((limit_of(text + "configuration: {in_force_within_ms: 4000}\n") ==
               absl::Seconds(4)));
   BOOST_TEST(ErrorOf(text + "configuration: {in_force_within_ms: 0}\n")
                  .find("in_force_within_ms") != std::string::npos);
@@ -68,11 +68,11 @@
   BOOST_TEST(agent.worker_address == "10.1.0.14:8165");
 }
 
-BOOST_AUTO_TEST_CASE(faults_are_all_named_with_their_lines) {
+BOOST_AUTO_TEST_CASE(all_faults_are_reported_with_their_keys) {
   std::string text = kEntry;
   text.replace(text.find("10.1.0.13:8161"), 14, "localhost:8161");
   text += "surprise: 1\n";
-  text += "seeds: 10.1.0.13:8166\n";  // entries are found by the store alone
+  text += "seeds: 10.1.0.13:8166\n";  // not a key: the store lists the entries
   const std::string error = ErrorOf(text);
   BOOST_TEST(error.find("callers.listen") != std::string::npos);
   BOOST_TEST(error.find("surprise") != std::string::npos);
@@ -86,7 +86,7 @@
   BOOST_TEST(ErrorOf(text).find("worker") != std::string::npos);
 }
 
-BOOST_AUTO_TEST_CASE(other_roles_and_no_yaml_are_not_for_this_reader) {
+BOOST_AUTO_TEST_CASE(other_roles_and_invalid_yaml_are_not_step_settings) {
   BOOST_TEST(!IsStepSettings("role: entry\n"));
   BOOST_TEST(!IsStepSettings("{{{"));
   BOOST_TEST(!IsStepSettings(""));
