--- a/src/job_dispatcher.cc
+++ b/src/job_dispatcher.cc
@@ -1,6 +1,6 @@
-// A job's tasks wait here, not at the workers: what waits is truthfully "not
-// run" and costs nothing to refuse. Jobs get workers by the priority of their
-// queue, then by arrival; those that a caller hands in again go last.
+// Tasks are queued at the entry, not at the workers: a queued job has certainly
+// not run, so it can be refused as "not run" at no cost. Jobs are dispatched by
+// the priority of their queue, then by arrival; repeated jobs come last.
 //
 //   waiting --Pick()--> running --done--> the last one answers the job
 //      ^------- never started, stopped, failed, agent lost -----/
@@ -17,10 +17,10 @@
 namespace egretswitch::internal {
 namespace {
 
-// Without open jobs the dispatcher is called at least so often, so that it
-// notices a pause of its process.
+// The dispatcher is called at least this often, also without open jobs, so that
+// it detects a pause of its process.
 constexpr absl::Duration kIdleCheckPeriod = absl::Milliseconds(100);
-// After a pause, what the sockets hold is read within some turns of the loop.
+// After a pause, the event loop drains the sockets within a few iterations.
 constexpr absl::Duration kStaleRequests = absl::Milliseconds(100);
 
 }  // namespace
@@ -32,7 +32,7 @@
     EndAfterPause();
   }
   m_last_handled = now.mono;
-  std::visit([this](const auto& happened) { On(happened); }, event);
+  std::visit([this](const auto& details) { On(details); }, event);
   Dispatch();
   if (std::holds_alternative<JobArrived>(event)) {
     RefuseEvacuatedJobs();
@@ -48,7 +48,7 @@
   while (!m_jobs.empty()) {
     OpenJob& job = *m_jobs.begin()->second;
     StopRunsOf(job);
-    Finish(std::string(job.job.id), GiveUp(job, "shutting_down"));
+    Finish(std::string(job.job.id), AbandonedAnswer(job, "shutting_down"));
   }
   return std::exchange(m_actions, {});
 }
@@ -67,18 +67,17 @@
       }));
 }
 
-// A process that stood still may have been replaced meanwhile: the callers'
-// later attempts may run at other entries. That holds for what it reads next,
-// too: requests that waited for it, whose callers have long gone elsewhere.
-// NextWake() is never further away than kIdleCheckPeriod, so a longer gap is a
-// pause.
+// While the process was paused, callers may have sent their jobs to other
+// entries, which may run them now. The same holds for requests that queued in
+// the sockets during the pause. NextWake() is at most kIdleCheckPeriod ahead,
+// so a gap longer than kMaxEntryPause is a pause.
 void JobDispatcher::EndAfterPause() {
   const bool first_event = m_last_handled == absl::ZeroDuration();
   if (first_event) {
     return;
   }
   m_stale_until = m_now.mono + kStaleRequests;
-  Log("pause noticed",
+  Log("pause detected",
       {{"paused_ms",
         absl::StrCat(absl::ToInt64Milliseconds(m_now.mono - m_last_handled))},
        {"jobs", absl::StrCat(m_jobs.size())}});
@@ -86,7 +85,7 @@
     OpenJob& job = *m_jobs.begin()->second;
     m_counters.Add(RunCounter::kJobsEndedByPause);
     StopRunsOf(job);
-    Finish(std::string(job.job.id), GiveUp(job, "entry_paused"));
+    Finish(std::string(job.job.id), AbandonedAnswer(job, "entry_paused"));
   }
 }
 
@@ -103,9 +102,9 @@
     Answer(event.call, {JobVerdict::kNotRun, "entry_paused", RetryAfter()});
     return;
   }
-  if (const auto known = m_jobs.find(event.job.id); known != m_jobs.end()) {
+  if (const auto open = m_jobs.find(event.job.id); open != m_jobs.end()) {
     m_counters.Add(RunCounter::kJobsJoined);
-    known->second->calls.push_back(event.call);
+    open->second->calls.push_back(event.call);
     m_job_of_call[event.call] = event.job.id;
     Log("job joined", {{"job", event.job.id}});
     return;
@@ -155,15 +154,16 @@
 // ---------------------------------------------------------------------
 
 void JobDispatcher::Dispatch() {
-  m_exhausted.Clear();
+  m_exhausted_capacity.Clear();
   m_waiting.ForEach([this](OpenJob& job) { DispatchJob(job); });
 }
 
-// Takes the room when there is some.
-PooledWorker* JobDispatcher::FindSeat(const OpenJob& job,
-                                      const OpenTask& task) {
+// Picks a worker for the task and reserves its capacity; null if no worker has
+// enough. Workers that the task should avoid are used only as a last resort.
+PooledWorker* JobDispatcher::ReserveWorker(const OpenJob& job,
+                                           const OpenTask& task) {
   const TaskNeeds& needs = job.StepOf(task).needs;
-  if (m_exhausted.Covers(job.queue.service, needs)) {
+  if (m_exhausted_capacity.Covers(job.queue.service, needs)) {
     return nullptr;
   }
   PooledWorker* worker =
@@ -172,7 +172,7 @@
     worker = m_pool.Pick(job.queue.service, needs, {}, m_now.mono);
   }
   if (worker == nullptr) {
-    m_exhausted.Add(job.queue.service, needs);
+    m_exhausted_capacity.Add(job.queue.service, needs);
     return nullptr;
   }
   m_pool.ChargeStart(*worker, needs, 1);
@@ -181,14 +181,14 @@
 }
 
 void JobDispatcher::DispatchJob(OpenJob& job) {
-  // By step and agent, so that each agent gets one message for a step.
+  // Grouped by step and agent: each agent gets one message per step.
   std::map<std::pair<uint32_t, std::string>, std::vector<OpenTask*>> chosen;
   for (OpenTask& task : job.tasks) {
     if (task.state != OpenTask::State::kWaiting ||
         m_now.mono < task.not_before) {
       continue;
     }
-    PooledWorker* worker = FindSeat(job, task);
+    PooledWorker* worker = ReserveWorker(job, task);
     if (worker == nullptr) {
       continue;
     }
@@ -200,8 +200,8 @@
     --job.waiting;
     chosen[{task.step, worker->agent}].push_back(&task);
   }
-  for (const auto& [place, tasks] : chosen) {
-    SendStarts(job, place.first, *m_pool.Find(place.second), tasks);
+  for (const auto& [target, tasks] : chosen) {
+    SendStarts(job, target.first, *m_pool.Find(target.second), tasks);
   }
 }
 
@@ -223,16 +223,17 @@
   start.urgency = m_policy.urgent_entries_first ? job.Urgency() : 0;
   for (const OpenTask* task : tasks) {
     start.runs.push_back(
-        {task->index, task->run, SuspectMs(task->lost, m_worker_losses)});
+        {task->index, task->run, SuspectMs(task->lost_runs, m_worker_losses)});
   }
   m_counters.Add(RunCounter::kRunsStarted, tasks.size());
   SendTo(worker, std::move(start));
 }
 
-// ---- Ends
+// ---- Ending
 // -------------------------------------------------------------------------
 
-JobAnswer JobDispatcher::GiveUp(const OpenJob& job, std::string_view reason) {
+JobAnswer JobDispatcher::AbandonedAnswer(const OpenJob& job,
+                                         std::string_view reason) {
   if (job.possibly_started > 0) {
     return {JobVerdict::kMayHaveRun, std::string(reason), {}};
   }
@@ -240,7 +241,7 @@
 }
 
 void JobDispatcher::StopRunsOf(OpenJob& job) {
-  std::set<std::string> told;
+  std::set<std::string> notified;
   for (OpenTask& task : job.tasks) {
     if (task.state != OpenTask::State::kRunning &&
         task.state != OpenTask::State::kStopping) {
@@ -248,7 +249,7 @@
     }
     PooledWorker& worker = *m_pool.Find(task.agent);
     worker.runs -= std::min(worker.runs, 1u);
-    if (told.insert(task.agent).second && !worker.Suspect(m_now.mono)) {
+    if (notified.insert(task.agent).second && !worker.Suspect(m_now.mono)) {
       SendTo(worker, StopRuns{.job = job.job.id, .step = 0, .runs = {}});
     }
   }
@@ -288,18 +289,20 @@
 }
 
 absl::Duration JobDispatcher::RetryAfter(absl::Duration wait) {
-  const double share = std::uniform_real_distribution<double>(0, 1)(m_random);
-  return SuggestedRetryDelay(wait, share);
+  const double jitter = std::uniform_real_distribution<double>(0, 1)(m_random);
+  return SuggestedRetryDelay(wait, jitter);
 }
 
-void JobDispatcher::LogRoutine(std::string_view what,
+void JobDispatcher::LogRoutine(std::string_view event_name,
                                std::vector<NoteField> fields) {
   m_actions.push_back(
-      NoteStateChange{std::string(what), std::move(fields), true});
+      NoteStateChange{std::string(event_name), std::move(fields), true});
 }
 
-void JobDispatcher::Log(std::string_view what, std::vector<NoteField> fields) {
-  m_actions.push_back(NoteStateChange{std::string(what), std::move(fields)});
+void JobDispatcher::Log(std::string_view event_name,
+                        std::vector<NoteField> fields) {
+  m_actions.push_back(
+      NoteStateChange{std::string(event_name), std::move(fields)});
 }
 
 }  // namespace egretswitch::internal
--- a/src/job_dispatcher_reports.cc
+++ b/src/job_dispatcher_reports.cc
@@ -1,8 +1,8 @@
-// What an entry learns from the agents: who is linked, what room there is, and
-// what became of each run.
+// Handles the messages of agents: links that come up and go down, the free
+// capacity of workers, and the outcome of each run.
 //
 //   RunReports{5c0e/0/0 kDone}    -> the last one answers the job
-//   RunReports{5c0e/0/1 kNoCapacity}  -> the task waits again
+//   RunReports{5c0e/0/1 kNoCapacity}  -> the task is queued again
 #include <algorithm>
 #include <set>
 #include <string>
@@ -18,26 +18,28 @@
 namespace egretswitch::internal {
 namespace {
 
-// After a worker said that it had seen a run number: far above what a former
-// attempt can have used.
+// Added to a task's run number after a worker reports that it has seen the
+// number before: far more runs than an earlier attempt can have used.
 constexpr RunNumber kRunNumberJump = 16;
 
-// After a task was kept apart from another one for the second time by the same
-// agent: there is no other worker for it now.
-constexpr absl::Duration kSuspectPause = absl::Milliseconds(20);
+// Delay before a task is placed again after the same agent refused for the
+// second time to run it beside a suspect task: no other worker is available.
+constexpr absl::Duration kSuspectRetryDelay = absl::Milliseconds(20);
 
 }  // namespace
 
 // "agent-1 worker_crashed 650 ms ago beside 5 others,agent-7 ..."
-std::string JobDispatcher::LossesText(const std::vector<LostRun>& lost) const {
-  const std::set<std::string> agents = AgentsOf(lost);
-  return absl::StrJoin(lost, ",", [&](std::string* text, const LostRun& run) {
-    absl::StrAppend(
-        text, run.agent, " ", std::string(RunLossName(run.loss)), " ",
-        absl::ToInt64Milliseconds(m_now.mono - run.reported_at),
-        " ms ago beside ", m_worker_losses.LostAround(run.reported_at, agents),
-        " others");
-  });
+std::string JobDispatcher::LossesText(
+    const std::vector<LostRun>& lost_runs) const {
+  const std::set<std::string> agents = AgentsOf(lost_runs);
+  return absl::StrJoin(
+      lost_runs, ",", [&](std::string* text, const LostRun& run) {
+        absl::StrAppend(
+            text, run.agent, " ", std::string(RunLossName(run.loss)), " ",
+            absl::ToInt64Milliseconds(m_now.mono - run.reported_at),
+            " ms ago beside ",
+            m_worker_losses.LostAround(run.reported_at, agents), " others");
+      });
 }
 
 void JobDispatcher::On(const PeerConnected& event) {
@@ -45,19 +47,20 @@
                                        event.data_centre, m_now.mono);
   worker.evacuations_sent = 0;
   if (m_pool.evacuations().IsLoaded()) {
-    TellEvacuations(worker);
+    SendEvacuations(worker);
   }
-  AskForRunsOrderedBefore(worker);
+  RequestEarlierRuns(worker);
 }
 
-// What was under way on the former link is lost, orders and reports alike.
-void JobDispatcher::AskForRunsOrderedBefore(PooledWorker& worker) {
+// Starts and reports in flight on the previous link are lost, so the agent is
+// asked to report on every run that was sent to it.
+void JobDispatcher::RequestEarlierRuns(PooledWorker& worker) {
   RenewRuns renewal;
   for (const auto& [id, job] : m_jobs) {
     for (const OpenTask& task : job->tasks) {
-      const bool ordered = task.state == OpenTask::State::kRunning ||
-                           task.state == OpenTask::State::kStopping;
-      if (ordered && task.agent == worker.agent &&
+      const bool sent = task.state == OpenTask::State::kRunning ||
+                        task.state == OpenTask::State::kStopping;
+      if (sent && task.agent == worker.agent &&
           task.agent_incarnation == worker.incarnation) {
         renewal.ordered_before.push_back(
             {{id, task.step, task.index}, task.run, job->order});
@@ -70,21 +73,21 @@
   }
 }
 
-// The agents are told as well: an entry that has not heard of it yet finds its
-// orders turned away there. A state that only reaches further, as after each
-// new configuration, is told to those whose reports show that they need it.
+// Agents get the state too, so that they refuse starts of entries that have not
+// received it yet. A state that differs only in its offset, as after each new
+// configuration, is sent only to agents whose reports show an older one.
 void JobDispatcher::On(const EvacuationsChanged& event) {
   const bool changed =
       event.state.data_centres != m_pool.evacuations().data_centres;
   m_pool.SetEvacuations(event.state);
   for (auto& [name, worker] : m_pool.workers()) {
     if (changed && worker.linked) {
-      TellEvacuations(worker);
+      SendEvacuations(worker);
     }
   }
 }
 
-void JobDispatcher::TellEvacuations(PooledWorker& worker) {
+void JobDispatcher::SendEvacuations(PooledWorker& worker) {
   worker.evacuations_sent = m_pool.evacuations().through;
   SendTo(worker, m_pool.evacuations());
 }
@@ -104,34 +107,37 @@
       worker->incarnation != event.incarnation) {
     return;
   }
-  NoteIfLost(*worker, reports->worker);
+  RecordIfLost(*worker, reports->worker);
   m_pool.Update(*worker, *reports, m_now.mono);
-  // Another entry may have told it of an evacuation that has ended since.
+  // Another entry may have sent the agent an evacuation that has ended since.
   const uint64_t through = m_pool.evacuations().through;
   if (std::max(reports->worker.evacuations, worker->evacuations_sent) <
       through) {
-    TellEvacuations(*worker);
+    SendEvacuations(*worker);
   }
   for (const RunReport& report : reports->reports) {
-    TakeReport(*worker, report);
+    HandleReport(*worker, report);
   }
 }
 
-// A worker that leaves in order can't be told from one that is lost here; it
-// speaks for the tasks that others lose meanwhile.
-void JobDispatcher::NoteIfLost(const PooledWorker& worker,
-                               const WorkerStatus& told) {
+// A worker that leaves in order can't be distinguished from a lost one here. If
+// it is counted as lost, that only favours tasks that lose their workers at
+// about the same time.
+void JobDispatcher::RecordIfLost(const PooledWorker& worker,
+                                 const WorkerStatus& reported) {
   const WorkerStatus& former = worker.status;
-  const bool gone = !told.accepting || told.worker != former.worker;
-  if (former.accepting && gone && !worker.evacuated) {
+  const bool left_or_lost =
+      !reported.accepting || reported.worker != former.worker;
+  if (former.accepting && left_or_lost && !worker.evacuated) {
     m_worker_losses.Record(worker.agent, m_now.mono);
   }
 }
 
-void JobDispatcher::TakeReport(PooledWorker& worker, const RunReport& report) {
+void JobDispatcher::HandleReport(PooledWorker& worker,
+                                 const RunReport& report) {
   const auto it = m_jobs.find(report.task.job);
   if (it == m_jobs.end()) {
-    return;  // answered or given up before
+    return;  // the job has been answered or abandoned
   }
   OpenJob& job = *it->second;
   OpenTask* task = job.FindTask(report.task);
@@ -169,9 +175,9 @@
   m_counters.Add(RunCounter::kRunsDone);
   m_run_times.Observe(job.queue.name, job.caller_estimates_ms[task.step],
                       run_ms);
-  const uint32_t usual_ms =
+  const uint32_t expected_ms =
       m_policy.learn_slowness ? job.StepOf(task).estimate_ms : run_ms;
-  m_pool.RecordGoodRun(worker, run_ms, usual_ms);
+  m_pool.RecordGoodRun(worker, run_ms, expected_ms);
   task.state = OpenTask::State::kDone;
   task.run_ms = run_ms;
   ++job.done;
@@ -184,7 +190,7 @@
                                OpenTask& task,
                                PooledWorker& worker) {
   m_counters.Add(RunCounter::kRunsFailed);
-  NoteBadRun(worker, job.job.id);
+  RecordBadRun(worker, job.job.id);
   task.avoid.insert(worker.agent);
   if (++task.failures < job.queue.max_attempts) {
     Requeue(job, task, RunCounter::kRetriesFailed);
@@ -194,38 +200,39 @@
   Finish(std::string(job.job.id), {JobVerdict::kFailed, "task_failed", {}});
 }
 
-// Nothing is held against the worker: it was the task, or an accident, and once
-// it is back it is as good as any other.
+// A lost worker does not count towards ejection: either the task or an accident
+// caused the loss, and a restarted worker is as good as any other.
 void JobDispatcher::TaskLostWorker(OpenJob& job,
                                    OpenTask& task,
                                    PooledWorker& worker,
                                    const RunReport& report) {
   m_worker_losses.Record(worker.agent, m_now.mono);
   task.avoid.insert(worker.agent);
-  task.lost.push_back({worker.agent, m_now.mono, report.loss, report.run_ms});
-  switch (JudgeLostRuns(task.lost, m_worker_losses)) {
+  task.lost_runs.push_back(
+      {worker.agent, m_now.mono, report.loss, report.run_ms});
+  switch (JudgeLostRuns(task.lost_runs, m_worker_losses)) {
     case LossVerdict::kTryAgain:
       Requeue(job, task, RunCounter::kRetriesWorkerLost);
       return;
     case LossVerdict::kCrashesWorkers:
       m_counters.Add(RunCounter::kJobsCrashWorkers);
-      EndForLosses(job, task, {JobVerdict::kFailed, "crashes_workers", {}});
+      EndAfterLosses(job, task, {JobVerdict::kFailed, "crashes_workers", {}});
       return;
     case LossVerdict::kTooManyLosses:
       m_counters.Add(RunCounter::kJobsWorkersLost);
-      EndForLosses(job, task, GiveUp(job, "workers_lost"));
+      EndAfterLosses(job, task, AbandonedAnswer(job, "workers_lost"));
       return;
   }
 }
 
-void JobDispatcher::EndForLosses(OpenJob& job,
-                                 const OpenTask& task,
-                                 JobAnswer answer) {
-  Log("task given up after losses",
+void JobDispatcher::EndAfterLosses(OpenJob& job,
+                                   const OpenTask& task,
+                                   JobAnswer answer) {
+  Log("task given up after worker losses",
       {{"job", job.job.id},
        {"task", absl::StrCat(task.step, "/", task.index)},
        {"reason", answer.reason},
-       {"lost", LossesText(task.lost)}});
+       {"lost", LossesText(task.lost_runs)}});
   StopRunsOf(job);
   Finish(std::string(job.job.id), std::move(answer));
 }
@@ -239,12 +246,12 @@
     task.run += kRunNumberJump;
   }
   if (end == RunEnd::kRefused) {
-    NoteBadRun(worker, job.job.id);
+    RecordBadRun(worker, job.job.id);
     task.avoid.insert(worker.agent);
   }
   if (end == RunEnd::kSuspectBeside &&
       !task.avoid.insert(worker.agent).second) {
-    task.not_before = m_now.mono + kSuspectPause;
+    task.not_before = m_now.mono + kSuspectRetryDelay;
   }
   Requeue(job, task,
           end == RunEnd::kNoCapacity ? RunCounter::kRetriesNoRoom
@@ -254,7 +261,7 @@
 void JobDispatcher::Requeue(OpenJob& job, OpenTask& task, RunCounter reason) {
   m_counters.Add(reason);
   ++job.retries;
-  LogRoutine("task waits again",
+  LogRoutine("task requeued",
              {{"job", job.job.id},
               {"task", absl::StrCat(task.step, "/", task.index)},
               {"run", absl::StrCat(task.run)},
@@ -266,7 +273,7 @@
   m_waiting.Add(job);
 }
 
-void JobDispatcher::NoteBadRun(PooledWorker& worker, const std::string& job) {
+void JobDispatcher::RecordBadRun(PooledWorker& worker, const std::string& job) {
   if (m_policy.eject_workers && m_pool.RecordBadRun(worker, job, m_now.mono)) {
     m_counters.Add(RunCounter::kWorkersEjected);
     Log("worker ejected",
--- a/src/job_log_fields.h
+++ b/src/job_log_fields.h
@@ -1,4 +1,6 @@
-// What the log tells of a job that has ended, and of the workers that it found.
+// Log fields of an ended job and of the workers that were available to it.
+//
+//   JobEndLogFields(job, answer, now)  -> {{"job", "5c0e"}, {"verdict", ...}}
 #ifndef EGRETSWITCH_SRC_JOB_LOG_FIELDS_H_
 #define EGRETSWITCH_SRC_JOB_LOG_FIELDS_H_
 
@@ -15,7 +17,7 @@
                                        const JobAnswer& answer,
                                        MonoTime now);
 
-// Why a job found no room.
+// Appends what shows why a job found no free capacity.
 void AppendCapacityLogFields(const WorkerPool::View& view,
                              std::vector<NoteField>& fields);
 
--- a/src/log_rate_limiter.h
+++ b/src/log_rate_limiter.h
@@ -1,6 +1,7 @@
-// A bound on routine log lines: so many a second, with a burst of one second.
+// Token bucket that limits log lines per second. Its capacity is the number of
+// lines of one second.
 //
-//   if (budget.Take(now)) { ... write the line ... }
+//   if (limiter.TryAcquire(now)) { ... write the line ... }
 #ifndef EGRETSWITCH_SRC_LOG_RATE_LIMITER_H_
 #define EGRETSWITCH_SRC_LOG_RATE_LIMITER_H_
 
@@ -21,21 +22,21 @@
     m_last = now;
     m_left = std::min(m_rate, m_left + m_rate * passed);
     if (m_left < 1) {
-      ++m_withheld;
+      ++m_suppressed;
       return false;
     }
     m_left -= 1;
     return true;
   }
 
-  // Lines that were not written.
-  uint64_t suppressed() const { return m_withheld; }
+  // Number of lines denied so far.
+  uint64_t suppressed() const { return m_suppressed; }
 
  private:
   const double m_rate;
   double m_left;
   MonoTime m_last = absl::ZeroDuration();
-  uint64_t m_withheld = 0;
+  uint64_t m_suppressed = 0;
 };
 
 }  // namespace egretswitch::internal
--- a/src/open_job.cc
+++ b/src/open_job.cc
@@ -6,7 +6,7 @@
 namespace egretswitch::internal {
 namespace {
 
-constexpr uint32_t kLastUrgency = std::numeric_limits<uint32_t>::max();
+constexpr uint32_t kLowestUrgency = std::numeric_limits<uint32_t>::max();
 
 }  // namespace
 
@@ -23,7 +23,7 @@
 }
 
 uint32_t OpenJob::Urgency() const {
-  return deprioritised ? kLastUrgency : queue.priority;
+  return deprioritised ? kLowestUrgency : queue.priority;
 }
 
 absl::Duration OpenJob::LongestEstimate() const {
--- a/src/peer_fetch.h
+++ b/src/peer_fetch.h
@@ -1,12 +1,12 @@
-// Which linked entry to ask for a newer version of a table, and when: only when
-// the store doesn't give it, one entry at a time, those of the own data centre
-// first.
+// Selects the linked entry to ask for a newer version of a table, and when:
+// only if the store doesn't deliver it, one entry at a time, entries of the own
+// data centre first.
 //
 //   PeerFetch fetch(seed);
 //   fetch.AddPeer("entry-2", PeerProximity::kSameDataCentre);
 //   fetch.RecordPeerVersion("entry-2", 7, now);
-//   fetch.TakeDue(now + kStoreFirst)   -> "entry-2"
-//   fetch.Have(7);                     // the answer has come, or the store's
+//   fetch.TakeDue(now + kStoreGracePeriod)   -> "entry-2"
+//   fetch.RecordOwnVersion(7);         // received from the peer or the store
 #ifndef EGRETSWITCH_SRC_PEER_FETCH_H_
 #define EGRETSWITCH_SRC_PEER_FETCH_H_
 
@@ -32,49 +32,50 @@
                          uint64_t version,
                          MonoTime now);
 
-  // What this process has, from wherever.
+  // Records the version that this process has, whatever its source.
   void RecordOwnVersion(uint64_t version);
-  uint64_t own_version() const { return m_have; }
-  // Since when a peer has named a version that this process lacks; infinite:
+  uint64_t own_version() const { return m_own_version; }
+  // When a peer first reported a version that this process lacks; infinite if
   // none has.
   MonoTime behind_since() const { return m_behind_since; }
-  // The newest version that a linked peer has named.
+  // The newest version that a linked peer has reported.
   uint64_t NewestPeerVersion() const;
   void SetStoreFailing(bool failing) { m_store_failing = failing; }
 
-  // Whether an answer of this peer is awaited.
+  // Whether this peer was asked and its answer is pending.
   bool IsAwaiting(const std::string& peer) const;
-  // The peer that was asked has sent a part; it is given time for the next.
+  // The asked peer has sent a part; restarts the timeout for the next one.
   void OnPartReceived(MonoTime now) { m_asked_at = now; }
-  // Its answer is of no use: another one is asked, and this one not again until
-  // it holds a newer version.
+  // Rejects the answer of the asked peer: another peer is asked, and this one
+  // again only after it reports a newer version.
   void RejectAnswer();
 
-  // The peer to ask now, which counts as asked; nullopt: none.
+  // Returns the peer to ask now and marks it as asked; nullopt if none is due.
   std::optional<std::string> TakeDue(MonoTime now);
-  // When TakeDue() may next name a peer; infinite: not before news come.
+  // When TakeDue() may next return a peer; infinite if none has a newer
+  // version.
   MonoTime NextDue() const;
 
-  // What the peer to be asked is said to hold.
+  // The version that this peer has reported; 0 if none.
   uint64_t PeerVersion(const std::string& peer) const;
 
  private:
   struct Peer {
     PeerProximity proximity = PeerProximity::kOtherDataCentre;
-    uint64_t holds = 0;
-    uint64_t useless_through = 0;  // up to here it is not asked
+    uint64_t reported_version = 0;
+    uint64_t rejected_through = 0;  // not asked for versions up to this
   };
 
   static bool IsNewer(const Peer& peer, uint64_t than);
   bool AnyNewer() const;
-  std::optional<std::string> Choose();
+  std::optional<std::string> ChoosePeer();
 
   std::map<std::string, Peer> m_peers;
-  uint64_t m_have = 0;
+  uint64_t m_own_version = 0;
   bool m_store_failing = false;
   MonoTime m_behind_since = absl::InfiniteDuration();
-  std::string m_asked;       // and has not answered yet; empty: nobody
-  std::string m_last_asked;  // the next one is another, if there is one
+  std::string m_asked_peer;       // its answer is pending; empty if none is
+  std::string m_last_asked_peer;  // another peer is preferred next time
   MonoTime m_asked_at = absl::ZeroDuration();
   std::minstd_rand m_random;
 };
--- a/src/settings.cc
+++ b/src/settings.cc
@@ -19,8 +19,8 @@
                                                      "error"};
 constexpr std::array<std::string_view, 2> kFormats = {"key_value", "json"};
 
-// Builds the settings from the top mapping of a file. Faults go to `errors`;
-// the result means something only when there are none.
+// Builds the settings from the top-level mapping of a file. The result is valid
+// only if no error was added to `errors`.
 class SettingsBuilder {
  public:
   SettingsBuilder(const YAML::Node& root, SettingsErrors* errors)
@@ -29,7 +29,7 @@
   Settings Build();
 
  private:
-  // One of the process's own addresses; no two may be the same.
+  // Reads an address that the process listens on; these must be distinct.
   IpPort ReadListen(MappingReader& reader);
   OperatorSettings ReadOperator();
   LogServiceSettings ReadLogService();
@@ -97,7 +97,7 @@
   settings.region = m_root.Name("region");
   settings.listen = ReadListen(m_root);
   if (settings.listen.ip == "0.0.0.0" || settings.listen.ip == "::") {
-    // Other processes are told this address.
+    // The process announces this address to its peers.
     m_errors->AddUnexpected(m_root.Line("listen"), "listen",
                             absl::StrCat("\"", settings.listen.Text(), "\""),
                             "an address that other processes can connect to");
@@ -141,7 +141,7 @@
   if (role == kAgentRole) {
     return ReadAgent();
   }
-  // Without a role there is no telling which of their keys are right.
+  // Without a valid role, the keys of every role are accepted.
   for (const std::string_view key : {"callers", "shards", "worker"}) {
     m_root.Allow(key);
   }
@@ -181,7 +181,7 @@
   try {
     return BuildFrom(YAML::LoadAll(std::string(text)), errors);
   } catch (const YAML::Exception& e) {
-    // yaml-cpp reports by exception; none leaves this function.
+    // yaml-cpp throws on malformed text. No exception leaves this function.
     errors.AddUnexpected(e.mark.line + 1, "", "text that is not YAML: " + e.msg,
                          "one YAML mapping of keys");
     return errors.Summary();
@@ -190,7 +190,8 @@
 
 absl::StatusOr<std::string> ReadSettingsFile(std::string_view path) {
   std::ifstream in{std::string(path), std::ios::binary};
-  // One byte beyond the limit is enough to refuse the file.
+  // Reads one byte more than the limit, so that ParseSettings() rejects a file
+  // that is too long.
   std::string text(kMaxFileBytes + 1, '\0');
   in.read(text.data(), static_cast<std::streamsize>(text.size()));
   text.resize(static_cast<size_t>(in.gcount()));
--- a/src/step_settings.cc
+++ b/src/step_settings.cc
@@ -10,7 +10,8 @@
 constexpr std::array<std::string_view, 2> kRoles = {"step_entry", "step_agent"};
 constexpr size_t kEntryRole = 0;
 
-// "http://127.0.0.1:7900" -> "127.0.0.1:7900"; the reader has checked it.
+// "http://127.0.0.1:7900" -> "127.0.0.1:7900". MappingReader has validated the
+// URL, but returns an invalid one too.
 std::string AddressOfUrl(const std::string& url) {
   constexpr std::string_view kScheme = "http://";
   return url.size() < kScheme.size() ? url : url.substr(kScheme.size());
@@ -30,15 +31,15 @@
   return AddressOfUrl(url);
 }
 
-absl::Duration ReadConfigWithin(MappingReader& root) {
+absl::Duration ReadConfigApplyLimit(MappingReader& root) {
   constexpr NumberRange kMilliseconds = {1, 3'600'000};
   MappingReader reader = root.Section("configuration", false);
-  const absl::Duration within = absl::Milliseconds(
+  const absl::Duration limit = absl::Milliseconds(
       reader.Number("in_force_within_ms", kMilliseconds,
                     static_cast<uint32_t>(
                         absl::ToInt64Milliseconds(kDefaultConfigApplyLimit))));
   reader.RejectUnknownKeys();
-  return within;
+  return limit;
 }
 
 StepSettings Read(MappingReader& root, SettingsErrors& errors) {
@@ -66,7 +67,7 @@
     StepEntrySettings entry;
     entry.callers_listen = ReadListen(root, "callers");
     entry.ready_listen = ReadListen(root, "ready");
-    entry.config_apply_limit = ReadConfigWithin(root);
+    entry.config_apply_limit = ReadConfigApplyLimit(root);
     settings.role = entry;
   } else {
     StepAgentSettings agent;
@@ -90,7 +91,7 @@
     return role.IsDefined() && role.IsScalar() &&
            role.Scalar().starts_with("step_");
   } catch (const YAML::Exception&) {
-    return false;  // the reader of the other roles reports it
+    return false;  // ParseSettings() reports the error
   }
 }
 
@@ -107,7 +108,7 @@
     }
     return settings;
   } catch (const YAML::Exception& e) {
-    // yaml-cpp reports by exception; none leaves this function.
+    // yaml-cpp throws on malformed text. No exception leaves this function.
     errors.AddUnexpected(e.mark.line + 1, "", "text that is not YAML: " + e.msg,
                          "one YAML mapping of keys");
     return errors.Summary();
--- a/src/typical_timeout.h
+++ b/src/typical_timeout.h
@@ -1,9 +1,9 @@
-// How long callers of a queue usually wait when they hand a job in for the
-// first time, learnt from what arrives; and so whether a job is handed in again
-// after an attempt that this process may know nothing of.
+// Estimates the caller timeout of first attempts at jobs of a queue. A job with
+// a much shorter timeout is a repeat of an attempt that may have been sent to
+// another entry.
 //
-//   usual.Note("checks", absl::Milliseconds(1900));   // and some dozen others
-//   usual.IsRepeat("checks", absl::Milliseconds(600))  -> true
+//   typical.Record("checks", absl::Milliseconds(1900));   // for each job
+//   typical.IsRepeat("checks", absl::Milliseconds(600))  -> true
 #ifndef EGRETSWITCH_SRC_TYPICAL_TIMEOUT_H_
 #define EGRETSWITCH_SRC_TYPICAL_TIMEOUT_H_
 
@@ -17,16 +17,16 @@
 
 class TypicalTimeout {
  public:
-  // `patience` is what is left of the caller's wait as it hands a job in;
-  // infinite: it did not say.
+  // `caller_timeout` is the time for which the caller still waits when it sends
+  // a job; infinite if the caller does not state it.
   void Record(const std::string& queue, absl::Duration caller_timeout);
 
-  // False while too little is known.
+  // Returns false while there are too few samples.
   bool IsRepeat(const std::string& queue, absl::Duration caller_timeout) const;
 
  private:
-  // The latest ones, the newest last.
-  absl::flat_hash_map<std::string, std::deque<absl::Duration>> m_seen;
+  // The latest timeouts of each queue, the newest last.
+  absl::flat_hash_map<std::string, std::deque<absl::Duration>> m_samples;
 };
 
 }  // namespace egretswitch::internal
--- a/test/bounded_stdout_test.cc
+++ b/test/bounded_stdout_test.cc
@@ -1,4 +1,5 @@
-// Log lines to a reader that stands still cost no time and are bounded.
+// Tests that logging to a stalled reader neither blocks nor buffers without
+// bound.
 #include "bounded_stdout.h"
 
 #include <fcntl.h>
@@ -47,7 +48,7 @@
   BOOST_TEST(ReadAll() == "one\ntwo\n");
 }
 
-// The pipe is left blocking: a write that waited would hang the test.
+// The pipe is in blocking mode, so a write that blocks would hang the test.
 BOOST_AUTO_TEST_CASE(stalled_reader_drops_lines_without_blocking) {
   BoundedStdout out(writer.get());
   const std::string line = std::string(99, 'x') + "\n";
@@ -69,21 +70,21 @@
 }
 
 BOOST_AUTO_TEST_CASE(rate_limiter_allows_a_burst_and_then_its_rate) {
-  LogRateLimiter budget(10);
-  int taken = 0;
+  LogRateLimiter limiter(10);
+  int allowed = 0;
   for (int i = 0; i < 100; ++i) {
-    taken += budget.TryAcquire(absl::Seconds(5)) ? 1 : 0;
+    allowed += limiter.TryAcquire(absl::Seconds(5)) ? 1 : 0;
   }
-  BOOST_TEST(taken == 10);
-  taken = 0;
+  BOOST_TEST(allowed == 10);
+  allowed = 0;
   for (int i = 1; i <= 100; ++i) {
-    taken += budget.TryAcquire(absl::Seconds(5) + i * absl::Milliseconds(10))
-                 ? 1
-                 : 0;
+    allowed += limiter.TryAcquire(absl::Seconds(5) + i * absl::Milliseconds(10))
+                   ? 1
+                   : 0;
   }
-  BOOST_TEST(taken >= 9);
-  BOOST_TEST(taken <= 11);
-  BOOST_TEST(budget.suppressed() > 0u);
+  BOOST_TEST(allowed >= 9);
+  BOOST_TEST(allowed <= 11);
+  BOOST_TEST(limiter.suppressed() > 0u);
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/test/evacuation_test.cc
+++ b/test/evacuation_test.cc
@@ -1,6 +1,6 @@
-// Data centres that are emptied under load and taken back, in virtual time: the
-// real decisions of entries and agents (RunWorld), six workers in three data
-// centres.
+// Tests data centres that are evacuated under load and taken back into service,
+// in virtual time: the real state machines of entries and agents (RunWorld),
+// with six workers in three data centres.
 #include <boost/test/unit_test.hpp>
 #include <set>
 #include <string>
@@ -14,7 +14,8 @@
 
 constexpr VirtualUs kEvacuated = Ms(2000);
 
-// A job of two small tasks each 5 ms, which take a twelfth of the room.
+// Every 5 ms a job of two small tasks; together the jobs use a twelfth of the
+// capacity.
 std::vector<JobPlan> SteadyJobs(VirtualUs until) {
   std::vector<JobPlan> plans;
   for (VirtualUs at = Ms(600); at < until; at += Ms(5)) {
@@ -36,18 +37,20 @@
 }
 
 struct EvacuationFixture {
-  // `done` are the numbers of jobs that came in [from, to).
+  // Counts the completed jobs of those submitted in [from, to).
   int CompletedBetween(VirtualUs from, VirtualUs to) const {
     int completed = 0;
     for (size_t i = 0; i < plans.size(); ++i) {
       const JobOutcome outcome = world.OutcomeOf(static_cast<int>(i));
-      const bool meant = plans[i].at >= from && plans[i].at < to;
-      completed += meant && outcome.verdict == JobVerdict::kCompleted ? 1 : 0;
+      const bool in_interval = plans[i].at >= from && plans[i].at < to;
+      completed +=
+          in_interval && outcome.verdict == JobVerdict::kCompleted ? 1 : 0;
     }
     return completed;
   }
 
-  // Starts in the data centre during [from, to), counted when the time comes.
+  // Counts the starts in the data centre during [from, to) into `count`, while
+  // the world runs.
   void CountStarts(int data_centre, VirtualUs from, VirtualUs to, int& count) {
     world.At(from, [this, data_centre, &count] {
       count = -world.StartsIn(data_centre);
@@ -117,7 +120,7 @@
   BOOST_TEST(starts == 0);
 }
 
-// It keeps sending starts there, and the agents turn them away.
+// The entry keeps sending starts there, and the agents refuse them.
 BOOST_AUTO_TEST_CASE(entry_without_the_update_starts_nothing_there) {
   world.At(Ms(1900), [this] { world.BlockStoreUpdates(0); });
   EvacuateAt(kEvacuated, {1});
--- a/test/evacuations_test.cc
+++ b/test/evacuations_test.cc
@@ -1,4 +1,4 @@
-// What is evacuated, by what was read and told of it.
+// Tests the state of evacuations after reads of the operators' table.
 #include "evacuations.h"
 
 #include <boost/test/unit_test.hpp>
@@ -50,15 +50,15 @@
 }
 
 BOOST_AUTO_TEST_CASE(read_older_than_the_state_changes_nothing) {
-  const EvacuationsRead old_whole = {
+  const EvacuationsRead old_snapshot = {
       .records = {}, .through = 11, .whole = true};
-  BOOST_TEST((ApplyRead(kSouth, old_whole) == kSouth));
+  BOOST_TEST((ApplyRead(kSouth, old_snapshot) == kSouth));
   const EvacuationsRead old_record = {.records = {{"south", false, 11}},
                                       .through = 11};
   BOOST_TEST((ApplyRead(kSouth, old_record) == kSouth));
 }
 
-// A neighbour was ahead of this process, whose own read now catches up.
+// A peer has sent a newer state, which this process's own read now reaches.
 BOOST_AUTO_TEST_CASE(records_already_applied_are_skipped) {
   const Evacuations after = ApplyRead(
       kSouth,
--- a/test/job_dispatcher_fixture.h
+++ b/test/job_dispatcher_fixture.h
@@ -1,4 +1,4 @@
-// An entry's decisions with agents and callers that the test plays.
+// A job dispatcher whose agents and callers are simulated by the test.
 //
 //   AddAgent("agent-1");
 //   SentTo<StartRuns>("agent-1", Arrive(1, 4))     // one message, four runs
@@ -20,7 +20,7 @@
     return dispatcher.Handle(event, clock.now());
   }
 
-  // Time passes in steps, as the dispatcher asks for.
+  // Advances time in steps of the dispatcher's check period.
   JobDispatcherActions Pass(absl::Duration by) {
     JobDispatcherActions all;
     const absl::Duration step = absl::Milliseconds(20);
--- a/test/job_dispatcher_test.cc
+++ b/test/job_dispatcher_test.cc
@@ -1,4 +1,4 @@
-// What an entry does with its callers' jobs and the reports of agents.
+// Tests how an entry handles its callers' jobs and the reports of agents.
 #include "job_dispatcher.h"
 
 #include <boost/test/unit_test.hpp>
@@ -39,7 +39,8 @@
   BOOST_TEST(SentTo<Evacuations>("agent-1", actions).empty());
 }
 
-// Another entry, which lacks the taking back, has told the agent meanwhile.
+// Another entry, which has not received the end of the evacuation, has sent its
+// older state to the agent.
 BOOST_AUTO_TEST_CASE(
     agent_that_reports_an_old_evacuation_state_is_updated_once) {
   AddAgent("agent-1");
@@ -47,9 +48,9 @@
   WorkerStatus status = Status();
   status.evacuations = 7;
   const auto first = Report("agent-1", {}, status);
-  const auto told = SentTo<Evacuations>("agent-1", first);
-  BOOST_REQUIRE(told.size() == 1u);
-  BOOST_TEST(told[0].through == 8u);
+  const auto updates = SentTo<Evacuations>("agent-1", first);
+  BOOST_REQUIRE(updates.size() == 1u);
+  BOOST_TEST(updates[0].through == 8u);
   const auto second = Report("agent-1", {}, status);
   BOOST_TEST(SentTo<Evacuations>("agent-1", second).empty());
 }
@@ -72,7 +73,8 @@
   BOOST_TEST(SentTo<StartRuns>("agent-1", Arrive(2, 1)).size() == 1u);
 }
 
-// What waiting costs must not grow with the deployment, nor beyond what waits.
+// The number of messages for waiting tasks must not grow with the deployment,
+// nor exceed the number of waiting tasks.
 BOOST_AUTO_TEST_CASE(waiting_job_asks_a_few_agents_at_a_time_and_each_in_turn) {
   constexpr int kAgents = 100;
   constexpr size_t kOthers = RunRenewals::kMaxOutsideRequests;
@@ -84,7 +86,7 @@
   std::set<std::string> asked;
   size_t most = 0;
   size_t first = 0;
-  // 8 agents are in reach; the others are asked 2 at a time.
+  // 8 agents are in the subset; the others are asked 2 at a time.
   constexpr int kPasses = (kAgents - 8) / static_cast<int>(kOthers) + 2;
   for (int i = 0; i < kPasses; ++i) {
     size_t now_asked = 0;
@@ -168,8 +170,8 @@
   BOOST_TEST(starts[0].runs[0].run > 10u);
 }
 
-// An order of the first attempt may be refused, long delayed, while the second
-// attempt has a run of the same number under way.
+// A start of the first attempt that was long delayed may be refused while the
+// second attempt has a run of the same number.
 BOOST_AUTO_TEST_CASE(report_of_an_earlier_attempt_is_ignored) {
   AddAgent("agent-1");
   Arrive(1, 1);
@@ -241,31 +243,32 @@
   BOOST_TEST(renewals <= 5u);
 }
 
-// A run on a silent agent is run elsewhere only when the agent, or its worker's
-// lease, has certainly ended it.
+// A task on an unresponsive agent is restarted only when the agent, or the
+// lease of its worker, has certainly ended the run.
 BOOST_AUTO_TEST_CASE(
     task_on_an_unresponsive_agent_is_restarted_after_its_bound) {
   AddAgent("agent-1");
   Arrive(1, 1);
   AddAgent("agent-2");
-  absl::Duration last_word;
+  absl::Duration last_renewal;
   absl::Duration waited;
   std::vector<StartRuns> starts;
   while (starts.empty() && waited < absl::Seconds(3)) {
     const auto actions = Pass(absl::Milliseconds(20));
     waited += absl::Milliseconds(20);
     if (!SentTo<RenewRuns>("agent-1", actions).empty()) {
-      last_word = waited;
+      last_renewal = waited;
     }
     starts = SentTo<StartRuns>("agent-2", actions);
   }
   BOOST_REQUIRE(starts.size() == 1u);
-  BOOST_TEST((waited - last_word >= kRunCertainlyOver));
-  BOOST_TEST((waited - last_word < kRunCertainlyOver + absl::Milliseconds(60)));
+  BOOST_TEST((waited - last_renewal >= kRunCertainlyOver));
+  BOOST_TEST(
+      (waited - last_renewal < kRunCertainlyOver + absl::Milliseconds(60)));
 }
 
-// A link whose bytes vanish was given up only after TCP's probes, seconds
-// later.
+// A link that loses all bytes must be replaced long before TCP's probes close
+// it, seconds later.
 BOOST_AUTO_TEST_CASE(
     unresponsive_agent_is_redialled_before_its_runs_are_stopped) {
   AddAgent("agent-1");
@@ -277,7 +280,7 @@
   BOOST_TEST(dials[0].incarnation == 1u);
 }
 
-// Connections to a frozen process would pile up.
+// Otherwise connections to a frozen process would accumulate.
 BOOST_AUTO_TEST_CASE(redials_of_an_unresponsive_agent_are_spaced_out) {
   AddAgent("agent-1");
   Arrive(1, 1);
@@ -285,7 +288,7 @@
              2u);
 }
 
-// Many links that die together would be dialled at one moment.
+// Otherwise links that fail together would all be dialled at once.
 BOOST_AUTO_TEST_CASE(agents_unresponsive_together_are_redialled_one_by_one) {
   for (int i = 0; i < 30; ++i) {
     AddAgent("agent-" + std::to_string(i));
@@ -302,7 +305,7 @@
   BOOST_TEST(dialled >= 8u);
 }
 
-// A run whose order or end was lost with a link would wait for ever.
+// Otherwise a task whose start or report was lost with a link would never end.
 BOOST_AUTO_TEST_CASE(agent_on_a_new_link_is_asked_for_the_runs_started_before) {
   AddAgent("agent-1");
   Arrive(1, 2);
@@ -319,7 +322,8 @@
   BOOST_TEST(starts[0].runs[0].run == 2u);
 }
 
-// Room taken by orders that were lost with a link would never be free again.
+// Otherwise capacity reserved for starts that were lost with a link would never
+// be released.
 BOOST_AUTO_TEST_CASE(capacity_of_starts_lost_with_a_link_is_released) {
   AddAgent("agent-1");
   WorkerStatus status = Status();
@@ -349,7 +353,7 @@
   BOOST_TEST((waited < kRunCertainlyOver + absl::Milliseconds(60)));
 }
 
-// While it stood still its callers may have gone to other entries.
+// During the pause the callers may have sent their jobs to other entries.
 BOOST_AUTO_TEST_CASE(pause_longer_than_the_limit_ends_every_job) {
   AddAgent("agent-1");
   Arrive(1, 1);
@@ -361,8 +365,8 @@
   BOOST_TEST((answers[0].verdict == JobVerdict::kMayHaveRun));
 }
 
-// A request that waited in the socket through the pause: its caller is gone,
-// and a later attempt of it may run elsewhere.
+// The request was queued in the socket during the pause: its caller may have
+// disconnected, and a later attempt may run at another entry.
 BOOST_AUTO_TEST_CASE(request_read_right_after_a_pause_is_refused_as_not_run) {
   AddAgent("agent-1");
   clock.Advance(kMaxEntryPause + absl::Milliseconds(1));
@@ -386,7 +390,7 @@
   BOOST_TEST((dispatcher.NextWake() - clock.now().mono <= kMaxEntryPause / 4));
 }
 
-// It has no runs there whose ends would tell of room.
+// The entry has no runs at such an agent whose ends would report free capacity.
 BOOST_AUTO_TEST_CASE(waiting_job_asks_full_agents_for_capacity) {
   AddAgent("agent-1");
   Report("agent-1", {}, Status({0, 0, 0}));
@@ -445,7 +449,7 @@
   BOOST_TEST(SentTo<StartRuns>("agent-2", moved).size() == 1u);
 }
 
-// A task that crashes each worker that starts it.
+// The task crashes each worker that starts it.
 BOOST_AUTO_TEST_CASE(task_whose_workers_crash_is_abandoned_after_two) {
   AddAgent("agent-1");
   AddAgent("agent-2");
--- a/test/member_list_test.cc
+++ b/test/member_list_test.cc
@@ -1,4 +1,4 @@
-// What an entry keeps of the members that it hears of.
+// Tests which record of a member an entry retains.
 #include "member_list.h"
 
 #include <boost/test/unit_test.hpp>
--- a/test/open_job_test.cc
+++ b/test/open_job_test.cc
@@ -1,4 +1,5 @@
-// When a job ends whose request has waited before it was taken.
+// Tests when a job expires whose request was queued before the entry accepted
+// it.
 #include "open_job.h"
 
 #include <boost/test/unit_test.hpp>
@@ -22,8 +23,8 @@
 
 BOOST_FIXTURE_TEST_SUITE(open_job, OpenJobFixture)
 
-// Guards against runs for a caller whose patience is over: the time that its
-// request has waited is a part of it.
+// Guards against runs for a caller that has timed out: the time for which its
+// request was queued counts towards the caller timeout.
 BOOST_AUTO_TEST_CASE(job_that_has_waited_expires_with_its_caller_timeout) {
   arrival.caller_timeout = absl::Milliseconds(2500);
   const OpenJob job = MakeOpenJob(arrival, 1, clock.now().mono);
--- a/test/run_time_model_test.cc
+++ b/test/run_time_model_test.cc
@@ -1,4 +1,4 @@
-// What run time is expected for a caller's estimate.
+// Tests the run time that is predicted for a caller's estimate.
 #include "run_time_model.h"
 
 #include <boost/test/unit_test.hpp>
@@ -28,7 +28,8 @@
   BOOST_TEST(model.Expect("other", 100) == 100u);
 }
 
-// Then most of what an estimate says of its task is chance.
+// If the estimates scatter as much as the work, they say little about a single
+// task.
 BOOST_AUTO_TEST_CASE(scattered_estimates_regress_to_the_mean) {
   RunTimeModel model;
   std::mt19937_64 random(1);
--- a/test/settings_test.cc
+++ b/test/settings_test.cc
@@ -1,5 +1,5 @@
-// Proves that settings are read as written and that every kind of fault is
-// reported with its file, line and key, all in one pass.
+// Tests that settings are read as written, and that every kind of error is
+// reported with its file, line and key in one pass.
 #include "settings.h"
 
 #include <filesystem>
@@ -55,7 +55,7 @@
   return settings.ok() ? "" : std::string(settings.status().message());
 }
 
-// The errors of kEntry with one change.
+// Returns the errors of kEntry with one change.
 std::string ErrorsWith(std::string_view from, std::string_view to) {
   return ErrorsOf(Replaced(kEntry, from, to));
 }
@@ -63,7 +63,7 @@
 constexpr std::string_view kAddressAllowed =
     ", allowed an IP number and a port, such as 127.0.0.1:8080";
 
-// A directory of its own for each test.
+// Creates a temporary directory for each test.
 struct DirectoryFixture {
   DirectoryFixture() {
     std::string pattern =
--- a/test/start_forecast_test.cc
+++ b/test/start_forecast_test.cc
@@ -1,4 +1,4 @@
-// When waiting jobs are expected to start.
+// Tests the predicted start of waiting jobs.
 #include "start_forecast.h"
 
 #include <boost/test/unit_test.hpp>
@@ -18,15 +18,15 @@
     return MakeOpenJob(arrival, 1, kStart);
   }
 
-  // Tasks wait from kStart on, and one is placed each `gap` until `now`.
+  // Tasks wait from kStart on, and one is placed every `gap` for a second.
   void PlaceUntil(absl::Duration gap) {
-    Look(Job(1, 1));
+    PredictWait(Job(1, 1));
     for (now = kStart; now < kStart + absl::Seconds(1); now += gap) {
       forecast.RecordPlacement("desk", 6000, now);
     }
   }
 
-  absl::Duration Look(const OpenJob& job) {
+  absl::Duration PredictWait(const OpenJob& job) {
     StartForecast::Pass pass = forecast.BeginPass(now);
     const absl::Duration wait = pass.PredictedWait(job);
     forecast.EndPass(pass);
@@ -43,7 +43,7 @@
 
 BOOST_AUTO_TEST_CASE(first_job_that_waits_has_no_forecast) {
   forecast.RecordPlacement("desk", 6000, now);
-  BOOST_TEST((Look(Job(9, 1)) == absl::ZeroDuration()));
+  BOOST_TEST((PredictWait(Job(9, 1)) == absl::ZeroDuration()));
 }
 
 BOOST_AUTO_TEST_CASE(predicted_wait_covers_the_jobs_ahead_and_the_job_itself) {
@@ -58,7 +58,7 @@
 BOOST_AUTO_TEST_CASE(
     most_urgent_waiting_job_is_predicted_to_start_twice_as_fast) {
   PlaceUntil(absl::Milliseconds(10));
-  const absl::Duration wait = Look(Job(10, 0));
+  const absl::Duration wait = PredictWait(Job(10, 0));
   BOOST_TEST((wait > absl::Milliseconds(40)));
   BOOST_TEST((wait < absl::Milliseconds(60)));
 }
@@ -75,7 +75,7 @@
 BOOST_AUTO_TEST_CASE(queue_that_was_empty_has_no_forecast_at_first) {
   PlaceUntil(absl::Milliseconds(10));
   forecast.EndPass(forecast.BeginPass(now));  // nothing waits
-  BOOST_TEST((Look(Job(100, 1)) == absl::ZeroDuration()));
+  BOOST_TEST((PredictWait(Job(100, 1)) == absl::ZeroDuration()));
 }
 
 // 220 ms of objective, 145 ms of a run with its margin.
--- a/test/worker_loss_test.cc
+++ b/test/worker_loss_test.cc
@@ -1,5 +1,5 @@
-// Sound jobs on workers that are lost, and jobs that crash their workers, in
-// virtual time with the real decisions of entries and agents.
+// Tests sound jobs on workers that are lost, and jobs that crash their workers,
+// in virtual time with the real state machines of entries and agents.
 #include <boost/test/unit_test.hpp>
 #include <cstdint>
 #include <string>
@@ -48,8 +48,8 @@
   return failed;
 }
 
-// Each of the first `count` workers crashes, and is back `down` later at a
-// moment of its own.
+// Crashes the first `count` workers. Each restarts after `down`, and 60 ms
+// after the one before it.
 void CrashTogether(RunWorld& world, VirtualUs at, int count, VirtualUs down) {
   for (int agent = 0; agent < count; ++agent) {
     world.At(at, [&world, agent, down] {
@@ -61,7 +61,7 @@
 BOOST_AUTO_TEST_SUITE(worker_loss)
 
 // Guards against sound jobs that are answered as failed after one loss of
-// power: a start that is ordered from a worker that is gone never began.
+// power. A start that is sent to a terminated worker never began.
 BOOST_AUTO_TEST_CASE(jobs_whose_workers_crash_together_are_not_failed) {
   for (uint64_t seed = 1; seed <= 20; ++seed) {
     RunWorld world(WorldOf(seed, SoundJobs()));
@@ -73,7 +73,7 @@
   }
 }
 
-// Guards against sound jobs that are blamed for two losses of power in a row.
+// Guards against sound jobs that are failed after two losses of power in a row.
 BOOST_AUTO_TEST_CASE(jobs_under_two_crashes_of_many_workers_are_not_failed) {
   for (uint64_t seed = 1; seed <= 20; ++seed) {
     RunWorld world(WorldOf(seed, SoundJobs()));
@@ -85,7 +85,7 @@
   }
 }
 
-// Guards against sound jobs that are blamed for workers that fell silent.
+// Guards against sound jobs that are failed because workers are unresponsive.
 BOOST_AUTO_TEST_CASE(jobs_on_unresponsive_workers_are_not_failed) {
   for (uint64_t seed = 1; seed <= 20; ++seed) {
     RunWorld world(WorldOf(seed, SoundJobs()));
@@ -100,7 +100,7 @@
   }
 }
 
-// Guards against a task that takes down one worker after another.
+// Guards against a task that crashes one worker after another.
 BOOST_AUTO_TEST_CASE(job_that_crashes_its_workers_is_failed_after_two) {
   for (uint64_t seed = 1; seed <= 20; ++seed) {
     std::vector<JobPlan> plans = SoundJobs();
@@ -116,8 +116,8 @@
   }
 }
 
-// Guards against a crashing task that hides behind other losses: it is given up
-// all the same, one crash later.
+// Guards against retrying a crashing task because other workers are lost at the
+// same times. It is failed after one more crash.
 BOOST_AUTO_TEST_CASE(
     job_that_crashes_its_workers_amid_losses_is_failed_after_three) {
   for (uint64_t seed = 1; seed <= 20; ++seed) {
@@ -139,8 +139,8 @@
   }
 }
 
-// Guards against a task that takes down worker after worker when these stay
-// away for long.
+// Guards against a task that crashes worker after worker when these do not
+// restart for long, so that the crashes are not confirmed.
 BOOST_AUTO_TEST_CASE(job_with_unconfirmed_crashes_has_three_per_attempt) {
   for (uint64_t seed = 1; seed <= 20; ++seed) {
     std::vector<JobPlan> plans = SoundJobs();
